--- a/oleanderwood/jobs/__init__.py
+++ b/oleanderwood/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: what callers hand in, and what is known of their tasks."""
+"""Jobs that callers submit, and the state of their tasks."""
--- a/oleanderwood/jobs/crashes.py
+++ b/oleanderwood/jobs/crashes.py
@@ -1,58 +1,61 @@
-"""Whether a task crashes the workers that start it, by when they went. Pure.
+"""Decides from a task's crashes whether it crashes its workers. Pure.
 
-A worker that crashes says nothing of what it ran, and most of that was just
-there. So one crash proves little: what had only just been started is
-suspected, and started next where no other could be to blame.
+A crashed worker doesn't report what it ran, and most of its runs are
+unrelated to the crash. A single crash is therefore weak evidence: runs that
+were started just before it are suspected, and are next started where no other
+run could have caused a crash.
 """
 
 import collections.abc
 
 import msgspec
 
-AT_ONCE_MS = 60
-"""Age of a run up to which it is suspected by one crash: a worker's orders
-come some milliseconds apart, and few are so young at any moment."""
+EARLY_CRASH_MS = 60
+"""A single crash makes a run of at most this age suspected. Orders reach a
+worker some milliseconds apart, so few of its runs are this young at any
+moment."""
 
 SETTLED_S = 1.0
 """Age from which a run isn't suspected beside one that is: tasks that crash
 their workers do so as they start up."""
 
-SHARP_MS = 60
-"""Most doubt about a run's age that leaves it comparable to others."""
+MAX_AGE_DOUBT_MS = 60
+"""Largest uncertainty of a run's age at which ages are compared."""
 
-ALIKE_MS = 20
-ALIKE_FACTOR = 0.05
-"""How far two ages may lie apart that count as the same: so much, and such a
-part of them."""
+SIMILAR_AGE_MS = 20
+SIMILAR_AGE_FACTOR = 0.05
+"""Two ages are similar if they differ by at most this constant plus this
+fraction of the age."""
 
 GUILTY_POINTS = 8
-"""What speaks against a task until it is given up: two crashes that came at
-once and at the same age, the second with no other explanation; three at the
-same age; two that can't be explained after two that can."""
+"""Points at which a task is given up. Reached by two early crashes at similar
+ages, the second isolated; by three crashes at similar ages; or by two
+isolated crashes after two that other runs could have caused."""
 
 BESIDE_POINTS = 1
 ISOLATED_POINTS = 3
-AT_ONCE_POINTS = 1
-ALIKE_POINTS = 3
-"""For each crash; for one with no other explanation; for one at once, and
-for one at the age of an earlier one, beside these."""
+EARLY_POINTS = 1
+SIMILAR_AGE_POINTS = 3
+"""Each crash counts ``BESIDE_POINTS``, or ``ISOLATED_POINTS`` if no other run
+could have caused it. An early crash and one at an age similar to an earlier
+crash's add their points."""
 
-LEAST_PROBATION_S = 0.3
-MOST_PROBATION_S = 1.0
-"""Bounds of the time in which a suspected run is kept apart."""
+MIN_PROBATION_S = 0.3
+MAX_PROBATION_S = 1.0
+"""Bounds of the time for which a suspected run is isolated."""
 
-UNHEARD = 0
-"""Stands for the attempt of a start whose end the leader may never hear of;
-attempts begin with 1."""
+UNREPORTED = 0
+"""Attempt number of a start whose end the leader may never learn of; numbers
+of real attempts begin with 1."""
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
-    """A worker that went while a run of a task was there.
+    """A crash of a worker while it may have run a task.
 
-    :ivar attempt: of the run
-    :ivar age_ms: of the run, at most; -1 if it isn't known
-    :ivar doubt_ms: by how much it may have been younger
-    :ivar isolated: nothing else there could be to blame
+    :ivar attempt: number of the run
+    :ivar age_ms: upper bound of the run's age; -1 if unknown
+    :ivar doubt_ms: by how much the run may have been younger
+    :ivar isolated: no other run on the worker could have caused the crash
     """
 
     attempt: int
@@ -65,45 +68,46 @@
 
 
 def is_suspected(crashes: Crashes) -> bool:
-    """Say whether a task has to be started apart from others."""
-    return len(crashes) > 1 or any(_came_at_once(row) for row in crashes)
+    """Return whether a task has to be started isolated from others."""
+    return len(crashes) > 1 or any(_is_early(row) for row in crashes)
 
 
 def is_guilty(crashes: Crashes) -> bool:
-    """Say whether a task is given up."""
+    """Return whether the evidence suffices to give up a task."""
     rows = sorted(crashes, key=lambda crash: crash.attempt)
     points = 0
     for number, row in enumerate(rows):
         points += ISOLATED_POINTS if row.isolated else BESIDE_POINTS
-        if _came_at_once(row):
-            points += AT_ONCE_POINTS
-        if any(_are_alike(row, other) for other in rows[:number]):
-            points += ALIKE_POINTS
+        if _is_early(row):
+            points += EARLY_POINTS
+        if any(_have_similar_ages(row, other) for other in rows[:number]):
+            points += SIMILAR_AGE_POINTS
     return len(rows) > 1 and points >= GUILTY_POINTS
 
 
-def _came_at_once(crash: Crash) -> bool:
-    return 0 <= crash.age_ms <= AT_ONCE_MS
+def _is_early(crash: Crash) -> bool:
+    return 0 <= crash.age_ms <= EARLY_CRASH_MS
 
 
-def _are_alike(crash: Crash, other: Crash) -> bool:
-    if not (_is_sharp(crash) and _is_sharp(other)):
+def _have_similar_ages(crash: Crash, other: Crash) -> bool:
+    if not (_is_age_comparable(crash) and _is_age_comparable(other)):
         return False
-    apart_ms = ALIKE_MS + ALIKE_FACTOR * crash.age_ms
-    return abs(crash.age_ms - other.age_ms) <= apart_ms
+    tolerance_ms = SIMILAR_AGE_MS + SIMILAR_AGE_FACTOR * crash.age_ms
+    return abs(crash.age_ms - other.age_ms) <= tolerance_ms
 
 
-def _is_sharp(crash: Crash) -> bool:
-    return crash.age_ms >= 0 and crash.doubt_ms <= SHARP_MS
+def _is_age_comparable(crash: Crash) -> bool:
+    return crash.age_ms >= 0 and crash.doubt_ms <= MAX_AGE_DOUBT_MS
 
 
 def probation_s(crashes: Crashes) -> float:
-    """Give how long a run has to go on until it isn't suspected any more.
+    """Return how long a run must survive until it is no longer suspected.
 
-    Twice as long as any that a worker went under.
+    This is twice the highest age at a crash, within bounds; the upper bound
+    if an age is unknown.
     """
     ages = [crash.age_ms for crash in crashes]
     if min(ages, default=-1) < 0:
-        return MOST_PROBATION_S
+        return MAX_PROBATION_S
     longest_s = 2 * max(ages) / 1000
-    return min(MOST_PROBATION_S, max(LEAST_PROBATION_S, longest_s))
+    return min(MAX_PROBATION_S, max(MIN_PROBATION_S, longest_s))
--- a/oleanderwood/jobs/isolation.py
+++ b/oleanderwood/jobs/isolation.py
@@ -1,7 +1,8 @@
-"""Tasks that are suspected of crashing their workers, and when they start.
+"""Tasks suspected of crashing their workers, and when they may start.
 
-Pure. One of a step starts at a time, beside nothing that is young, until it
-has gone on for a while; then more, and at last the rest of the step.
+Pure. At first one suspected task of a step starts at a time, on a worker
+without young runs, until it has survived its probation. Each one that does
+allows one more to start beside it, and finally the rest of the step.
 """
 
 from oleanderwood.jobs import crashes as crashes_
@@ -10,7 +11,7 @@
 
 
 def crashes_of(task: ledgers.Task) -> dict[int, crashes_.Crash]:
-    """Give the crashes under a task by attempt; a gang's count together."""
+    """Return a task's crashes by attempt; those of a gang are merged."""
     if not task.group.step.gang:
         return task.crashes
     found: dict[int, crashes_.Crash] = {}
@@ -25,12 +26,15 @@
     crash: crashes_.Crash,
     now_s: float,
 ) -> None:
-    """Note a crash under a task, which may end its job."""
+    """Record a crash that a task may have caused.
+
+    The task's job fails if the evidence against the task now suffices.
+    """
     entry = task.group.entry
     if task.done or ledgers.final(entry):
         return
     task.crashes[crash.attempt] = crash
-    set_suspected(task)
+    update_suspects(task)
     entry.crashes_noted += 1
     ledgers.touch(ledger, entry)
     if is_guilty(task):
@@ -40,21 +44,21 @@
 
 
 def is_guilty(task: ledgers.Task) -> bool:
-    """Say whether a task is given up.
+    """Return whether a task is given up.
 
-    Whatever speaks against its gang, two workers have to have gone under one
-    task of it, as far as is known.
+    Even if the evidence against its gang suffices, one member must have at
+    least two known crashes of its own.
     """
     members = task.group.tasks if task.group.step.gang else [task]
-    heard = max(
-        sum(attempt != crashes_.UNHEARD for attempt in member.crashes)
+    known = max(
+        sum(attempt != crashes_.UNREPORTED for attempt in member.crashes)
         for member in members
     )
-    return heard > 1 and crashes_.is_guilty(crashes_of(task).values())
+    return known > 1 and crashes_.is_guilty(crashes_of(task).values())
 
 
-def set_suspected(task: ledgers.Task) -> None:
-    """Set who is suspected by the crashes that are known."""
+def update_suspects(task: ledgers.Task) -> None:
+    """Add the task or its gang to the step's suspects, or remove them."""
     suspects = task.group.suspects
     suspected = crashes_.is_suspected(crashes_of(task).values())
     tasks = task.group.tasks if task.group.step.gang else [task]
@@ -66,9 +70,11 @@
 
 
 def clear(task: ledgers.Task, attempt: int | None = None) -> None:
-    """Forget the crash of a run that is heard of; None: all of a task's.
+    """Drop the crash recorded for a run that was reported again.
+
+    Its copy in the store is removed by the next write of the job.
 
-    What the store holds of it goes with the next write of the job.
+    :param attempt: number of the run; None drops all crashes of the task
     """
     if not task.crashes:
         return
@@ -76,24 +82,24 @@
         task.crashes.clear()
     elif attempt >= max(task.crashes):
         task.crashes.pop(attempt, None)
-        task.crashes.pop(crashes_.UNHEARD, None)
+        task.crashes.pop(crashes_.UNREPORTED, None)
     else:
         task.crashes.pop(attempt, None)
-    set_suspected(task)
+    update_suspects(task)
 
 
-def to_keep(task: ledgers.Task) -> list[crashes_.Crash]:
-    """Give what the store has to hold of the crashes under a task.
+def crashes_to_store(task: ledgers.Task) -> list[crashes_.Crash]:
+    """Return the crashes of a task that the store has to hold.
 
-    The next start is held against it before it is made: a leader that dies
-    then may leave a crash behind that nobody has heard of.
+    They include one for the next start, recorded before it is made: if the
+    leader fails then, the next leader may never learn of a crash.
     """
-    kept = {crashes_.UNHEARD: crashes_.Crash(crashes_.UNHEARD)}
-    return list((kept | task.crashes).values())
+    stored = {crashes_.UNREPORTED: crashes_.Crash(crashes_.UNREPORTED)}
+    return list((stored | task.crashes).values())
 
 
 def is_on_probation(task: ledgers.Task) -> bool:
-    """Say whether a run of a suspected task isn't known to have gone on."""
+    """Return whether a suspected task runs and hasn't survived probation."""
     return (
         task.run is not None
         and task.index in task.group.suspects
@@ -102,14 +108,14 @@
 
 
 def probation_s(task: ledgers.Task) -> float:
-    """Give how long a run of a task has to go on until it is trusted."""
+    """Return how long a run of a task must survive until it is trusted."""
     return crashes_.probation_s(crashes_of(task).values())
 
 
 def note_going_on(task: ledgers.Task, age_s: float) -> bool:
-    """Note that a run goes on; says whether its probation ends by that.
+    """Record that a run still goes on; return whether this ends probation.
 
-    :param age_s: for how long it has gone on, at least
+    :param age_s: lower bound of the run's age
     """
     if not is_on_probation(task) or age_s < probation_s(task):
         return False
@@ -118,17 +124,19 @@
 
 
 def is_kept(entry: ledgers.Entry) -> bool:
-    """Say whether the store holds the crashes by which tasks are suspected.
+    """Return whether the store holds all crashes recorded for a job.
 
-    Before that none of them starts: a later leader would count from none.
+    Suspected tasks don't start before that: otherwise the next leader would
+    count their crashes from zero.
     """
     return entry.crashes_kept >= entry.crashes_noted
 
 
 def startable(group: ledgers.Group) -> list[ledgers.Task]:
-    """Give the waiting tasks of a step that may be started now, in order.
+    """Return the waiting tasks of a step that may start now, in order.
 
-    With each suspected task that goes on, one more may be tried beside it.
+    Each suspected task that survives its probation allows one more to be
+    tried beside it.
     """
     waiting = group.waiting
     if not group.suspects:
@@ -136,15 +144,15 @@
     if not is_kept(group.entry):
         return []
     tried = [task for task in group.suspects.values() if not is_waiting(task)]
-    under_way = sum(is_on_probation(task) for task in tried)
+    on_probation = sum(is_on_probation(task) for task in tried)
     untried = [task for task in group.suspects.values() if is_waiting(task)]
-    if not untried and not under_way:
+    if not untried and not on_probation:
         return list(waiting.values())
-    allowed = 1 + len(tried) - 2 * under_way
+    allowed = 1 + len(tried) - 2 * on_probation
     untried.sort(key=lambda task: (-len(task.crashes), task.index))
     return untried[: max(0, allowed)]
 
 
 def is_waiting(task: ledgers.Task) -> bool:
-    """Say whether a task waits to be started."""
+    """Return whether a task waits to be started."""
     return task.index in task.group.waiting
--- a/oleanderwood/jobs/ledger.py
+++ b/oleanderwood/jobs/ledger.py
@@ -1,7 +1,7 @@
-"""What is known of all jobs and of the runs of their tasks.
+"""State of all jobs and of the runs of their tasks.
 
-Pure: no clock, socket or log. A task is started again only once each of its
-earlier runs is known to be over; the functions here keep that.
+Pure: no clock, socket or log. A task is started again only once all its
+earlier runs are known to be over; the functions here enforce this.
 """
 
 import collections.abc
@@ -15,31 +15,31 @@
 from oleanderwood.pools import reports
 
 ATTEMPTS_PER_TERM = 1000
-"""Attempts of one task under one term.
+"""Attempt numbers that each term reserves for a task.
 
-A later leader can't know the attempts that an earlier one gave on workers
-that have died since, so each term numbers from a base of its own.
+A leader can't know which numbers earlier leaders used on workers that have
+died since, so the attempts of each term are numbered from a base of its own.
 """
 
 
-AT_WORK_PERCENT = 100.0
-"""What a long-running task reports once it serves."""
+SERVING_PERCENT = 100.0
+"""Progress that a long-running task reports once it serves."""
 
 
 class RunPhase(enum.Enum):
-    """What is known of a run that may be going on."""
+    """Phase of a run that may be going on."""
 
     ORDERED = 'ordered'
-    """Its start is under way."""
+    """The order to start it is under way."""
 
     RUNNING = 'running'
-    """Its worker has answered that it runs."""
+    """Its worker has confirmed that it runs."""
 
     DOUBTFUL = 'doubtful'
-    """Its start got no answer, or a report lacks it."""
+    """The order to start it got no answer, or a report doesn't list it."""
 
     STOPPING = 'stopping'
-    """Its stop was ordered."""
+    """The order to stop it was sent."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
@@ -47,21 +47,28 @@
     """A run that may be going on.
 
     :ivar phase_since_s: when the phase began
-    :ivar checkpoint: saved work that it goes on from
-    :ivar ticket: by which its start was decided, '' if none is needed
-    :ivar pace_percent: None: of a run that uses leftovers, to which an
-        earlier leader gave one, or none
-    :ivar stop_answered_s: when its worker took the order to stop it
-    :ivar at_work_since_s: since when a long-running task works
-    :ivar looked_at_s: when its headway was looked at last, and
-        ``looked_percent`` how far it was
-    :ivar sent: the order to start it may have left, at ``sent_s``; None if
-        that isn't known
-    :ivar seen: its worker has listed it, so that order was carried out
-    :ivar proven: it has gone on for so long that it isn't suspected to crash
-        its worker
-    :ivar held_left_s: how much longer it takes if others hold it back; None
-        if none do
+    :ivar checkpoint: checkpoint from which the run resumes
+    :ivar ticket: advice ticket under which it was started; '' if none is
+        needed
+    :ivar stop_answered_s: when its worker acknowledged the order to stop it
+    :ivar at_work_since_s: since when a long-running task serves; None if it
+        doesn't
+    :ivar percent: progress that the worker reported last
+    :ivar moved_on_s: when the run was confirmed or its reported progress last
+        changed; 0 before
+    :ivar pace_percent: part of its speed at which the worker was told to run
+        it; None if unknown, as for an adopted run that uses leftover
+        processor time: an earlier leader may have set a pace or not
+    :ivar looked_at_s: when its progress was last sampled;
+        ``looked_percent`` is the progress at that time
+    :ivar held_left_s: estimated time to its end while it is starved by other
+        runs; None if it isn't starved
+    :ivar sent: the order to start it may have left the leader, at ``sent_s``
+        (None if the time is unknown)
+    :ivar seen: its worker has listed it, so the order to start it was
+        executed
+    :ivar proven: it has run for so long that it is no longer suspected of
+        crashing its worker
     """
 
     worker: ids.VmId
@@ -90,14 +97,19 @@
 class Task:
     """One task.
 
-    :ivar over_attempt: all runs up to this one are over
-    :ivar failed_attempts: runs that ended as failed
-    :ivar away_since_s: since when a long-running task hasn't worked
-    :ivar relocated: runs that were stopped to go on elsewhere, as others held
-        them back
-    :ivar crashes: workers that went while a run of it was there, by attempt
-    :ivar losses: runs of it that a worker may have taken along as it went
-    :ivar given_up: a run of it counts as over without its worker's word
+    :ivar run: the run that may be going on
+    :ivar last_attempt: highest attempt number used so far
+    :ivar over_attempt: all runs up to this attempt number are over
+    :ivar failed_attempts: attempt numbers of the runs that failed
+    :ivar failed_on: worker on which a run of it last failed or stalled
+    :ivar not_before_s: earliest time of the next start
+    :ivar away_since_s: since when a long-running task hasn't served
+    :ivar given_up: a run of it was considered over without a report from its
+        worker
+    :ivar crashes: crashes of workers that may have run it, by attempt
+    :ivar losses: number of its runs that may have ended with their worker
+    :ivar relocated: number of its runs that were stopped to be restarted
+        elsewhere because other runs starved them
     """
 
     name: ids.TaskId
@@ -124,11 +136,15 @@
 class Group:
     """The tasks of one step in one occurrence of a job.
 
-    :ivar tickets: workers that may run it, if its queue needs advice, with
-        what a start must carry; None before they are known
-    :ivar advised_until_s: until when the tickets are good
-    :ivar asked: workers that the advice was asked about
-    :ivar suspects: tasks that are suspected of crashing workers, by index
+    :ivar number: index of the step in the job
+    :ivar waiting: tasks that wait to be started, by index
+    :ivar left: number of tasks that aren't done
+    :ivar tickets: if the queue needs advice, the workers that may run the
+        step, with the ticket that a start must carry; None until the advice
+        has answered
+    :ivar advised_until_s: when the tickets expire
+    :ivar asked: workers about which the advice was asked
+    :ivar suspects: tasks suspected of crashing their workers, by index
     """
 
     entry: 'Entry'
@@ -148,19 +164,21 @@
 class Entry:
     """One job.
 
-    :ivar state: what is known now
-    :ivar kept_state: what lies in the store
+    :ivar arrived_s: when this leader took it in
     :ivar inherited: an earlier leader may have started tasks of it
+    :ivar groups: by occurrence and index of the step
+    :ivar state: present state
+    :ivar kept_state: state that the store holds
     :ivar cause: why it has failed
-    :ivar more_pools: pools in which its tasks may be started beside the one
-        that its queue had when it was handed in
-    :ivar more_pools_kept: those that lie in the store
-    :ivar crashes_noted: changes of what is known of crashes under its
-        suspected tasks, of which ``crashes_kept`` lie in the store
-    :ivar beyond: its tenant had sent as much as it may count on
-    :ivar unwritten_since: number of the first change that must be written
-    :ivar expected_s: how long a task of each step is expected to take, as
-        known at ``expected_version``
+    :ivar more_pools: pools in which its tasks may be started, in addition to
+        the pool of its queue at submission
+    :ivar more_pools_kept: the part of ``more_pools`` that the store holds
+    :ivar crashes_noted: number of changes to the crashes recorded for its
+        tasks; the store holds the first ``crashes_kept`` of them
+    :ivar beyond: it arrived when its tenant had used up its guaranteed rate
+    :ivar first_unwritten: number of its first change that the store lacks
+    :ivar expected_s: expected time of a task, by step, computed from version
+        ``expected_version`` of the measured lengths
     """
 
     job: model.Job
@@ -179,7 +197,7 @@
     crashes_noted: int = 0
     crashes_kept: int = 0
     beyond: bool = False
-    unwritten_since: int = 0
+    first_unwritten: int = 0
     ended_s: float = 0.0
     expected_s: tuple[float, ...] = ()
     expected_version: int = -1
@@ -187,7 +205,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Running:
-    """What the tasks of a tenant need that may be running."""
+    """Sum of the resources of a tenant's tasks that may be running."""
 
     cpu_millicores: int = 0
     memory_mb: int = 0
@@ -199,12 +217,12 @@
     """All jobs.
 
     :ivar open_groups: groups with waiting tasks, in order of arrival
-    :ivar dirty: jobs of which something must be written
+    :ivar dirty: jobs with changes that must be written
     :ivar under_way: jobs that are being written, with the number of the first
-        change that goes with it
-    :ivar changes: changes so far that must be written
-    :ivar running: by tenant; kept as runs begin and end, since a pass over all
-        runs takes milliseconds in a large fleet
+        change in that write
+    :ivar changes: number of changes so far that must be written
+    :ivar running: by tenant; updated as runs begin and end, since a pass over
+        all runs takes milliseconds in a large fleet
     """
 
     term: int = 1
@@ -219,10 +237,11 @@
 
 
 def add(ledger: Ledger, job: model.Job, now_s: float) -> Entry:
-    """Take a job in; one that is known already stays as it is.
+    """Add a job, or return its entry unchanged if it is already known.
 
-    That it wasn't there when this leader read the store proves nothing: an
-    earlier leader may act for a while after that.
+    A job that was accepted under an earlier term counts as inherited even if
+    the store didn't hold it when this leader read it: an earlier leader may
+    still act for a while after that.
     """
     known = ledger.entries.get(job.job)
     if known is not None:
@@ -243,33 +262,33 @@
 
 
 def may_start_in(entry: Entry, pool: ids.ServiceId) -> bool:
-    """Say whether a job's tasks may be started in a pool now.
+    """Return whether a job's tasks may be started in a pool now.
 
-    In another one than the job names they may be once that has been written,
-    so that a later leader knows where they may run.
+    A pool other than the job's own must have been written first, so that a
+    later leader knows where its tasks may run.
     """
     return pool == entry.job.queue.service or pool in entry.more_pools_kept
 
 
 def open_pool(ledger: Ledger, entry: Entry, pool: ids.ServiceId) -> None:
-    """Let it be written that a job's tasks may be started in a pool."""
+    """Allow a job's tasks in a pool as soon as the store holds this."""
     if pool not in entry.more_pools:
         entry.more_pools.add(pool)
         touch(ledger, entry)
 
 
 def kept_pools(entry: Entry) -> set[ids.ServiceId]:
-    """Give the pools in which tasks of a job may have been started."""
+    """Return the pools in which a job's tasks may have been started."""
     return {entry.job.queue.service, *entry.more_pools_kept}
 
 
 def final(entry: Entry) -> bool:
-    """Say whether the job has reached its last state."""
+    """Return whether a job is completed, failed or cancelled."""
     return entry.state in model.FINAL
 
 
 def is_ready(group: Group, wall_ms: float) -> bool:
-    """Say whether the turn of a group's tasks has come."""
+    """Return whether a group is due and the steps before it are done."""
     if wall_ms < model.due_ms(group.entry.job, group.occurrence):
         return False
     groups = group.entry.groups
@@ -280,7 +299,7 @@
 
 
 def find(ledger: Ledger, name: ids.TaskId) -> Task | None:
-    """Find a task by its name; None if there is no such task."""
+    """Return the task of a name, or None if there is no such task."""
     parts = name.split('.')
     entry = ledger.entries.get(ids.JobId(parts[0]))
     if entry is None or len(parts) != 4:
@@ -299,15 +318,16 @@
     now_s: float,
     attempt: int | None = None,
 ) -> Run:
-    """Note a start that is about to be ordered.
+    """Record a run whose start is about to be ordered.
 
-    :param attempt: shared by the members of a gang; None: the next
+    :param attempt: number shared by the members of a gang; None for the
+        task's next one
     :raises errors.InvariantBreach: the task may be running, is done, or
         its job has ended
     """
     if task.run is not None or task.done or final(task.group.entry):
         raise errors.InvariantBreach(f'task {task.name} must not be started')
-    _count(ledger, task, 1)
+    _count_run(ledger, task, 1)
     attempt = attempt or next_attempt(ledger, task)
     task.last_attempt = attempt
     task.run = Run(
@@ -319,15 +339,15 @@
         task.checkpoint,
         (task.group.tickets or {}).get(worker, ''),
     )
-    _not_waiting(ledger, task)
+    _remove_waiting(ledger, task)
     entry = task.group.entry
     if entry.state is model.State.QUEUED:
         entry.state = model.State.RUNNING
     return task.run
 
 
-def _count(ledger: Ledger, task: Task, sign: int) -> None:
-    """Note that a run of a task began, or with -1 that it is over."""
+def _count_run(ledger: Ledger, task: Task, sign: int) -> None:
+    """Add a run to its tenant's resources in use; -1 removes it."""
     tenant = task.group.entry.job.tenant
     if not tenant:
         return
@@ -339,7 +359,7 @@
 
 
 def next_attempt(ledger: Ledger, task: Task) -> int:
-    """Give the number of the task's next run."""
+    """Return the attempt number of a task's next run."""
     base = 0
     if task.group.entry.inherited:
         base = (ledger.term - 1) * ATTEMPTS_PER_TERM
@@ -349,16 +369,16 @@
 def adopt(
     ledger: Ledger, task: Task, worker: ids.VmId, attempt: int, now_s: float
 ) -> Run:
-    """Note a run of an earlier leader that a worker reports."""
+    """Record a run that an earlier leader started and a worker reports."""
     if task.run is None:
-        _count(ledger, task, 1)
+        _count_run(ledger, task, 1)
     task.last_attempt = max(task.last_attempt, attempt)
     task.run = Run(worker, attempt, RunPhase.RUNNING, now_s, now_s)
     task.run.moved_on_s = now_s
     task.run.sent = task.run.seen = True
     if task.group.step.uses_leftover:
         task.run.pace_percent = None
-    _not_waiting(ledger, task)
+    _remove_waiting(ledger, task)
     entry = task.group.entry
     if entry.state is model.State.QUEUED:
         entry.state = model.State.RUNNING
@@ -366,7 +386,7 @@
 
 
 def set_phase(run: Run, phase: RunPhase, now_s: float) -> None:
-    """Note what became known of a run."""
+    """Set the phase of a run, and when it began."""
     run.phase = phase
     run.phase_since_s = now_s
 
@@ -374,11 +394,11 @@
 def over(
     ledger: Ledger, task: Task, now_s: float, checkpoint: str = ''
 ) -> None:
-    """Note that the task's run is over and the task isn't done."""
+    """Record that a task's run is over; the task waits unless it is done."""
     run = task.run
     if run is None:
         return
-    _count(ledger, task, -1)
+    _count_run(ledger, task, -1)
     task.over_attempt = max(task.over_attempt, run.attempt)
     note_checkpoint(task, checkpoint)
     task.away_since_s = now_s
@@ -389,7 +409,7 @@
 
 
 def note_checkpoint(task: Task, checkpoint: str) -> None:
-    """Note what a task has saved; a gang's members go on from the same."""
+    """Record a task's checkpoint; the members of a gang share it."""
     if not checkpoint:
         return
     members = task.group.tasks if task.group.step.gang else (task,)
@@ -398,18 +418,18 @@
 
 
 def mark_done(ledger: Ledger, task: Task, now_s: float) -> bool:
-    """Note that a run of the task ended as done; False if known already.
+    """Record that a task is done; return False if that was known.
 
-    A run that may be going on elsewhere stays noted; it has to be stopped.
+    Another run that may be going on stays recorded, as it must be stopped.
     """
     if task.done:
         return False
     task.done = True
     group = task.group
-    _not_waiting(ledger, task)
+    _remove_waiting(ledger, task)
     group.left -= 1
     touch(ledger, group.entry)
-    _settle(ledger, group.entry, now_s)
+    _end_if_completed(ledger, group.entry, now_s)
     return True
 
 
@@ -421,7 +441,11 @@
     most_attempts: int,
     now_s: float,
 ) -> bool:
-    """Note that a run ended as failed; False if that was known."""
+    """Record that a run failed; return False if that was known.
+
+    The job fails once the task has failed ``most_attempts`` times, unless the
+    task is long-running.
+    """
     if attempt in task.failed_attempts:
         return False
     task.failed_attempts.add(attempt)
@@ -438,7 +462,7 @@
 
 
 def _failures(task: Task) -> int:
-    """Count the failed runs of a task; a gang fails as one."""
+    """Return the number of a task's failed runs; a gang fails as a whole."""
     if not task.group.step.gang:
         return len(task.failed_attempts)
     members = task.group.tasks
@@ -448,7 +472,7 @@
 def end(
     ledger: Ledger, entry: Entry, state: model.State, now_s: float
 ) -> None:
-    """Note that a job has reached a last state."""
+    """Set a job's final state, and drop its tasks that wait."""
     if final(entry):
         return
     entry.state = state
@@ -460,19 +484,19 @@
 
 
 def shown_state(entry: Entry) -> model.State:
-    """Give what callers may be told: a last state only once it is kept."""
+    """Return the state for callers: a final one only once it is stored."""
     if final(entry) and entry.kept_state is not entry.state:
         return model.State.RUNNING
     return entry.state
 
 
 def has_begun(entry: Entry) -> bool:
-    """Say whether any task of the job has been started."""
+    """Return whether any task of a job has been started."""
     return entry.state is not model.State.QUEUED
 
 
 def forget(ledger: Ledger, job: ids.JobId) -> None:
-    """Drop a job that nobody asks for any more."""
+    """Remove a job once callers may no longer ask for it."""
     entry = ledger.entries.pop(job, None)
     ledger.dirty.pop(job, None)
     if entry is not None:
@@ -481,14 +505,14 @@
 
 
 def runs(entry: Entry) -> collections.abc.Iterator[Task]:
-    """Give the tasks of a job that may be running."""
+    """Yield the tasks of a job that may be running."""
     for group in entry.groups.values():
         for task in group.tasks:
             if task.run is not None:
                 yield task
 
 
-def _settle(ledger: Ledger, entry: Entry, now_s: float) -> None:
+def _end_if_completed(ledger: Ledger, entry: Entry, now_s: float) -> None:
     if final(entry):
         return
     if all(group.left == 0 for group in entry.groups.values()):
@@ -496,14 +520,14 @@
 
 
 def touch(ledger: Ledger, entry: Entry) -> None:
-    """Note that a job has to be written."""
+    """Mark a job as changed, so that it is written."""
     ledger.changes += 1
     if entry.job.job not in ledger.dirty:
-        entry.unwritten_since = ledger.changes
+        entry.first_unwritten = ledger.changes
         ledger.dirty[entry.job.job] = entry
 
 
-def _not_waiting(ledger: Ledger, task: Task) -> None:
+def _remove_waiting(ledger: Ledger, task: Task) -> None:
     group = task.group
     group.waiting.pop(task.index, None)
     if not group.waiting:
@@ -511,7 +535,7 @@
 
 
 def apply_report(task: Task, row: reports.Running, now_s: float) -> None:
-    """Take over what a worker says of the task's current run."""
+    """Update a task's run from a worker's report."""
     run = task.run
     if run is None:
         return
@@ -521,11 +545,11 @@
     run.latency_or_cpu = row.latency_or_cpu
     note_checkpoint(task, row.checkpoint)
     if task.group.step.lasting:
-        _note_work(task, run, now_s)
+        _update_serving(task, run, now_s)
 
 
-def _note_work(task: Task, run: Run, now_s: float) -> None:
-    if run.percent >= AT_WORK_PERCENT:
+def _update_serving(task: Task, run: Run, now_s: float) -> None:
+    if run.percent >= SERVING_PERCENT:
         if run.at_work_since_s is None:
             run.at_work_since_s = now_s
     elif run.at_work_since_s is not None:
--- a/oleanderwood/jobs/model.py
+++ b/oleanderwood/jobs/model.py
@@ -1,4 +1,4 @@
-"""Jobs as callers hand them in: steps of equal tasks."""
+"""Jobs as callers submit them: steps of equal tasks."""
 
 import collections.abc
 import enum
@@ -11,7 +11,7 @@
 
 
 class State(enum.Enum):
-    """What a caller is told of a job."""
+    """State of a job."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -21,28 +21,28 @@
 
 
 FINAL = (State.COMPLETED, State.FAILED, State.CANCELLED)
-"""States that a job doesn't leave."""
+"""States that a job never leaves."""
 
 
 class Resources(msgspec.Struct, frozen=True):
-    """What a task needs, or what a worker has."""
+    """Resources that a task needs or a worker has."""
 
     cpu_millicores: int = 0
     memory_mb: int = 0
     gpus: int = 0
 
 
-def asks_as_much(needs: Resources, least: Resources) -> bool:
-    """Say whether needs are at least as large as others in each resource."""
+def asks_as_much(needs: Resources, minimum: Resources) -> bool:
+    """Return whether needs reach a minimum in each resource."""
     return (
-        needs.cpu_millicores >= least.cpu_millicores
-        and needs.memory_mb >= least.memory_mb
-        and needs.gpus >= least.gpus
+        needs.cpu_millicores >= minimum.cpu_millicores
+        and needs.memory_mb >= minimum.memory_mb
+        and needs.gpus >= minimum.gpus
     )
 
 
 def total(rows: collections.abc.Iterable[Resources]) -> Resources:
-    """Give the sum of several."""
+    """Return the sum of several resources."""
     cpu = memory = gpus = 0
     for row in rows:
         cpu += row.cpu_millicores
@@ -54,19 +54,24 @@
 class Step(msgspec.Struct, frozen=True, rename=stored.STEP):
     """Equal tasks of a job.
 
-    :ivar guess_ms: the caller's rough guess of one task's time
-    :ivar after: numbers of the steps that must be done before
-    :ivar checkpoints: a task can go on from where it was stopped
+    :ivar tasks: number of tasks
+    :ivar needs: resources that each task needs
+    :ivar guess_ms: the caller's rough estimate of one task's time
+    :ivar after: indices of the steps that must be done before
+    :ivar checkpoints: a task can resume from a checkpoint
     :ivar gang: the tasks run at the same time or not at all
-    :ivar one_rack: a gang is slow when it spans racks
-    :ivar label: a worker must have it; '' if any will do
-    :ivar near_rack: where the data lies; elsewhere a task is slow
-    :ivar max_per_worker: most tasks of the step on one worker; 0: no limit
+    :ivar one_rack: a gang is slow if it spans racks
+    :ivar label: label that a worker must have; '' if none is needed
+    :ivar near_rack: rack that holds the data; tasks are slow in other racks
+    :ivar max_per_worker: maximal number of tasks of the step on one worker;
+        0 for no limit
     :ivar speculative: copies of a task may run at the same time
-    :ivar lasting: the tasks run until the job is cancelled
-    :ivar latency_target_ms: what a serving task's latency must stay below
-    :ivar uses_leftover: its processor time is what others leave
-    :ivar most_away: tasks that may be away at once through our own orders
+    :ivar lasting: the tasks are long-running, until the job is cancelled
+    :ivar latency_target_ms: limit of a serving task's latency; 0 if the tasks
+        don't serve
+    :ivar uses_leftover: the tasks use the processor time that others leave
+    :ivar most_away: maximal number of tasks that may be down at once because
+        of the leader's own orders
     """
 
     tasks: int
@@ -88,11 +93,13 @@
 
 
 class Work(msgspec.Struct, frozen=True, rename=stored.WORK):
-    """What a caller asks for.
+    """The work that a caller requests.
 
-    :ivar text: opaque to us, passed on to each task
-    :ivar repeats: how often the steps run; 0: once, as soon as possible
-    :ivar first_due_ms: when the first repetition is due, since 1970
+    :ivar text: opaque text that is passed to each task
+    :ivar repeats: how often the steps run; 0 for once, as soon as possible
+    :ivar first_due_ms: when the first occurrence is due, in milliseconds
+        since 1970
+    :ivar repeat_every_ms: time between two occurrences
     """
 
     text: str
@@ -103,15 +110,16 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """An accepted job, as it lies in the store.
-
-    :ivar queue: the queue as it was when the job was handed in; what the
-        newest configuration says of it goes first
-    :ivar handed_in_ms: when, since 1970, by the clock of the process that
-        took it
-    :ivar tenant: whose key handed it in; '' if none was needed
-    :ivar term: under which it was accepted; the store has checked it in the
-        same write. No leader of an earlier term may start it. 0: not known
+    """An accepted job, as the store holds it.
+
+    :ivar queue: the queue as it was when the job was submitted; the newest
+        configuration of the queue takes precedence
+    :ivar handed_in_ms: time of submission, in milliseconds since 1970, by the
+        clock of the process that accepted it
+    :ivar term: the term under which it was accepted, which the store checked
+        in the same write; no leader of an earlier term may start it. 0 if
+        unknown
+    :ivar tenant: the tenant whose key submitted it; '' if none was needed
     """
 
     job: ids.JobId
@@ -123,18 +131,18 @@
 
 
 class Owned(msgspec.Struct, frozen=True):
-    """Whose a job is, read from its stored form alone."""
+    """The tenant of a job, decoded without the rest of the stored job."""
 
     tenant: ids.TenantId = ids.TenantId('')
 
 
 def occurrences(job: Job) -> int:
-    """Give how often the job's steps run."""
+    """Return how often a job's steps run."""
     return max(1, job.work.repeats)
 
 
 def due_ms(job: Job, occurrence: int) -> float:
-    """Give when an occurrence is due, in milliseconds since 1970."""
+    """Return when an occurrence is due, in milliseconds since 1970."""
     if job.work.repeats == 0:
         return 0.0
     return job.work.first_due_ms + occurrence * job.work.repeat_every_ms
@@ -143,9 +151,9 @@
 def longest_chain_s(
     work: Work, lengths_s: collections.abc.Sequence[float]
 ) -> float:
-    """Give the least time that the steps take one after another.
+    """Return the length of the critical path through a job's steps.
 
-    :param lengths_s: of a task, by step
+    :param lengths_s: time of one task, by step
     """
     ends_s: list[float] = []
     for step, length_s in zip(work.steps, lengths_s, strict=True):
@@ -157,7 +165,10 @@
 def remaining_chain_s(
     work: Work, number: int, lengths_s: collections.abc.Sequence[float]
 ) -> float:
-    """Give the least time from the begin of a step to the end of the job."""
+    """Return the critical path from the start of a step to the job's end.
+
+    :param lengths_s: time of one task, by step
+    """
     rest_s: dict[int, float] = {}
     for index in range(len(work.steps) - 1, number - 1, -1):
         after_s = [
@@ -172,5 +183,5 @@
 def task_name(
     job: ids.JobId, occurrence: int, step: int, index: int
 ) -> ids.TaskId:
-    """Name a task, as executors report it."""
+    """Return the name of a task, as executors report it."""
     return ids.TaskId(f'{job}.{occurrence}.{step}.{index}')
--- a/oleanderwood/jobs/persistence.py
+++ b/oleanderwood/jobs/persistence.py
@@ -1,7 +1,7 @@
-"""Which jobs' progress has to be written, and up to where it is. Pure.
+"""Tracks which jobs' changes have to be written and which are written. Pure.
 
-Changes are numbered. A worker's ends may be acknowledged once all changes that
-were made by them are written, whatever has changed since.
+Changes are numbered. The ends that a worker reports may be acknowledged once
+all changes they caused are written, regardless of later changes.
 """
 
 import collections.abc
@@ -9,11 +9,11 @@
 from oleanderwood.jobs import ledger as ledgers
 
 
-def take_up(ledger: ledgers.Ledger, most: int) -> list[ledgers.Entry]:
-    """Take up jobs to be written together, those that have ended first.
+def take_up(ledger: ledgers.Ledger, max_jobs: int) -> list[ledgers.Entry]:
+    """Return up to ``max_jobs`` jobs to be written next, ended ones first.
 
-    One that is being written isn't taken up again before it is: of two writes
-    that are under way the older could be the last.
+    A job that is being written is left out until that write is done: of two
+    concurrent writes, the older could take effect last.
     """
     free = [
         entry
@@ -21,16 +21,16 @@
         if name not in ledger.under_way
     ]
     free.sort(key=lambda entry: not ledgers.final(entry))
-    for entry in free[:most]:
+    for entry in free[:max_jobs]:
         del ledger.dirty[entry.job.job]
-        ledger.under_way[entry.job.job] = entry.unwritten_since
-    return free[:most]
+        ledger.under_way[entry.job.job] = entry.first_unwritten
+    return free[:max_jobs]
 
 
 def note_written(
     ledger: ledgers.Ledger, entries: collections.abc.Iterable[ledgers.Entry]
 ) -> None:
-    """Note that jobs lie in the store as they were when taken up."""
+    """Record that the store holds jobs as they were when taken up."""
     for entry in entries:
         ledger.under_way.pop(entry.job.job, None)
 
@@ -38,16 +38,16 @@
 def note_failed(
     ledger: ledgers.Ledger, entries: collections.abc.Iterable[ledgers.Entry]
 ) -> None:
-    """Note that jobs which were taken up have to be written again."""
+    """Record that the write of jobs failed and has to be repeated."""
     for entry in entries:
         since = ledger.under_way.pop(entry.job.job, None)
         if since is not None:
-            entry.unwritten_since = since
+            entry.first_unwritten = since
             ledger.dirty[entry.job.job] = entry
 
 
 def written_up_to(ledger: ledgers.Ledger) -> int:
-    """Give the number of the last change up to which all are written."""
-    waiting = [entry.unwritten_since for entry in ledger.dirty.values()]
-    waiting += ledger.under_way.values()
-    return min(waiting, default=ledger.changes + 1) - 1
+    """Return the highest number up to which all changes are written."""
+    unwritten = [entry.first_unwritten for entry in ledger.dirty.values()]
+    unwritten += ledger.under_way.values()
+    return min(unwritten, default=ledger.changes + 1) - 1
--- a/oleanderwood/jobs/queues.py
+++ b/oleanderwood/jobs/queues.py
@@ -1,4 +1,4 @@
-"""Queues: the operator's newest configuration, and which queue a path is."""
+"""Queues of the operator's configuration, and the lookup of a path's queue."""
 
 import msgspec
 
@@ -10,13 +10,16 @@
 class Queue(msgspec.Struct, frozen=True, rename=stored.QUEUE):
     """One queue of jobs.
 
-    :ivar host: the host name callers use
-    :ivar prefix: what the paths of its jobs begin with
-    :ivar service: the pool whose workers run its tasks
-    :ivar objective_ms: part of the time objective of a job; the other is
-        ``stretch`` times its longest chain of steps
-    :ivar priority: 0 comes first
-    :ivar most_attempts: failures of a task after which its job has failed
+    :ivar host: host name that callers use
+    :ivar prefix: prefix of the paths of its jobs
+    :ivar service: pool whose workers run its tasks
+    :ivar objective_ms: fixed part of a job's time objective, to which
+        ``stretch`` times the critical path of its steps is added
+    :ivar priority: 0 is the highest
+    :ivar most_attempts: number of failed runs of a task at which its job
+        fails
+    :ivar needs_advice: tasks start only on workers for which the advice has
+        issued a ticket
     :ivar public: callers need no key
     """
 
@@ -35,9 +38,10 @@
 class Configuration(msgspec.Struct, frozen=True):
     """The operator's configuration.
 
+    :ivar services: names of all pools
     :ivar standby: pools whose machines are off and cost nothing
-    :ivar guarded: pools whose workers refuse what doesn't fit
-    :ivar tenants: None: no caller needs a key
+    :ivar guarded: pools whose workers refuse tasks that don't fit
+    :ivar tenants: None if no caller needs a key
     """
 
     version: int
@@ -51,9 +55,9 @@
 def find(
     configuration: Configuration, host: str, path: str
 ) -> tuple[Queue, str] | None:
-    """Give the queue of a path and the rest of the path behind its prefix.
+    """Return the queue of a path, and the path without the queue's prefix.
 
-    The longest prefix wins. None if there is no such queue.
+    The queue with the longest matching prefix is used; None if none matches.
     """
     name = host.partition(':')[0].lower()
     best = None
@@ -68,5 +72,5 @@
 
 
 def by_name(configuration: Configuration) -> dict[str, Queue]:
-    """Give the queues by their names."""
+    """Return the queues by name."""
     return {queue.name: queue for queue in configuration.queues}
--- a/oleanderwood/jobs/record.py
+++ b/oleanderwood/jobs/record.py
@@ -1,4 +1,4 @@
-"""Jobs and their progress as they lie in the store."""
+"""Stored form of jobs and of their progress."""
 
 import msgspec
 
@@ -9,13 +9,13 @@
 from oleanderwood.jobs import model
 
 INTAKE_PREFIX = 'ow/in/'
-"""What callers and operators ask for: jobs, cancels, the policy."""
+"""Keys of all requests of callers and operators."""
 
 JOB_PREFIX = 'ow/in/job/'
 CANCEL_PREFIX = 'ow/in/cancel/'
 POLICY_KEY = 'ow/in/policy'
-"""What operators allow; among what callers ask for, so that the leader hears
-of both by one watch."""
+"""The operators' policy. It shares a prefix with callers' requests, so that
+the leader receives both through one watch."""
 
 PROGRESS_PREFIX = 'ow/progress/'
 
@@ -23,10 +23,11 @@
 class GroupProgress(msgspec.Struct, frozen=True, array_like=True):
     """Progress of one step in one occurrence.
 
-    :ivar done: indices of tasks, as bits of a number in hexadecimal
-    :ivar failed: attempts that failed, by index of the task
-    :ivar checkpoints: the last ones that are known, by index
-    :ivar crashes: workers that went under tasks, by index
+    :ivar done: indices of the tasks that are done, as bits of a hexadecimal
+        number
+    :ivar failed: numbers of failed attempts, by index of the task
+    :ivar checkpoints: last known checkpoint, by index of the task
+    :ivar crashes: crashes that may be caused by a task, by its index
     """
 
     occurrence: int
@@ -40,9 +41,9 @@
 class Progress(msgspec.Struct, frozen=True):
     """Progress of one job.
 
-    :ivar more_pools: in which its tasks may have been started, beside the one
-        that its queue had when it was handed in
-    :ivar tenant: whose job it is
+    :ivar more_pools: pools in which its tasks may have been started, in
+        addition to the pool of its queue at submission
+    :ivar tenant: the job's tenant
     """
 
     state: model.State
@@ -52,22 +53,22 @@
 
 
 def job_key(job: ids.JobId) -> str:
-    """Give the key of a job."""
+    """Return the key of a job."""
     return JOB_PREFIX + job
 
 
 def cancel_key(job: ids.JobId) -> str:
-    """Give the key that marks a job as cancelled by its caller."""
+    """Return the key that marks a job as cancelled by its caller."""
     return CANCEL_PREFIX + job
 
 
 def progress_key(job: ids.JobId) -> str:
-    """Give the key of a job's progress."""
+    """Return the key of a job's progress."""
     return PROGRESS_PREFIX + job
 
 
 def progress_of(entry: ledgers.Entry) -> Progress:
-    """Give what has to be kept of a job's progress."""
+    """Return a job's progress as the store has to hold it."""
     rows = []
     for group in entry.groups.values():
         row = _group_progress(group)
@@ -91,7 +92,7 @@
         if task.failed_attempts and not task.done:
             failed[task.index] = sorted(task.failed_attempts)
         if task.crashes and not task.done:
-            crashes[task.index] = isolation.to_keep(task)
+            crashes[task.index] = isolation.crashes_to_store(task)
     return GroupProgress(
         group.occurrence,
         group.number,
@@ -108,7 +109,7 @@
     progress: Progress,
     now_s: float,
 ) -> None:
-    """Bring a job that was just taken in to the progress that was kept."""
+    """Restore the stored progress of a job that was just added."""
     for row in progress.groups:
         group = entry.groups.get((row.occurrence, row.step))
         if group is not None:
@@ -138,7 +139,7 @@
         task.checkpoint = row.checkpoints.get(task.index, '')
         for crash in row.crashes.get(task.index, ()):
             task.crashes[crash.attempt] = crash
-            isolation.set_suspected(task)
+            isolation.update_suspects(task)
         task.last_attempt = max(
             [*task.failed_attempts, *task.crashes], default=task.last_attempt
         )
--- a/oleanderwood/jobs/stored.py
+++ b/oleanderwood/jobs/stored.py
@@ -1,9 +1,9 @@
-"""Names under which fields lie in the store and pass between servers.
+"""Names of fields in the store and in messages between servers.
 
-Servers of two versions share the store while they are replaced, and jobs that
-were accepted before outlive the servers that took them. So a field keeps the
-name it was first written under, though the code calls it otherwise: each
-version reads what the other wrote.
+During an upgrade, servers of two versions share the store, and accepted jobs
+outlive the servers that accepted them. A field whose attribute is renamed in
+the code therefore keeps the name under which it was first stored, so that
+each version can read what the other wrote.
 """
 
 STEP = {
--- a/oleanderwood/policy/__init__.py
+++ b/oleanderwood/policy/__init__.py
@@ -1,1 +1,1 @@
-"""What operators promise and allow: the file's content, checked as a whole."""
+"""The operators' policy file: its content and validation."""
--- a/oleanderwood/policy/hours.py
+++ b/oleanderwood/policy/hours.py
@@ -1,4 +1,4 @@
-"""Hours of the day as an operators' file writes them (UTC)."""
+"""Time ranges within a day (UTC), as written in a policy file."""
 
 import dataclasses
 import re
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Hours:
-    """A part of each day, in seconds after midnight; it may span midnight."""
+    """A daily time range in seconds after midnight; it may span midnight."""
 
     start_s: int
     end_s: int
 
 
 def read(text: str) -> Hours | None:
-    """Read hours as in ``05:00-07:30``, None if it is no such text."""
+    """Parse a range as in ``05:00-07:30``; return None if malformed."""
     match = _HOURS.match(text)
     if match is None:
         return None
@@ -29,7 +29,7 @@
 
 
 def left_s(hours: Hours, wall_s: float) -> float:
-    """Give how long the hours still last; 0 outside of them.
+    """Return the time until the range ends, in seconds; 0 outside of it.
 
     :param wall_s: seconds since 1970
     """
--- a/oleanderwood/policy/model.py
+++ b/oleanderwood/policy/model.py
@@ -1,4 +1,4 @@
-"""What operators promise and allow, beside the platform's configuration."""
+"""The operators' policy, which complements the platform's configuration."""
 
 import msgspec
 
@@ -6,9 +6,10 @@
 
 
 class Pool(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is promised of one pool.
+    """Guarantee for one pool.
 
-    :ivar min_up: machines that maintenance and moves leave up
+    :ivar min_up: minimal number of machines that maintenance and moves must
+        leave up
     """
 
     name: ids.ServiceId
@@ -16,10 +17,11 @@
 
 
 class Team(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one team may take.
+    """Quota of one team.
 
-    :ivar queues: names of the queues that the team hands jobs in to
-    :ivar max_cores: cores of its batch tasks that run at once
+    :ivar queues: names of the queues to which the team submits jobs
+    :ivar max_cores: maximal number of cores of its batch tasks that run at
+        once
     """
 
     name: ids.TeamId
@@ -28,11 +30,12 @@
 
 
 class Maintenance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """When machines may be taken down.
+    """When machines may be taken down for maintenance.
 
-    :ivar not_between: hours of the day, UTC, as in ``05:00-07:30``; a wave
-        that would not be done in time otherwise goes on in them
-    :ivar hold: nothing is taken down at all
+    :ivar not_between: daily time ranges (UTC), as in ``05:00-07:30``, in which
+        no machine is taken down; a wave that would otherwise miss its end
+        continues in them
+    :ivar hold: no machine is taken down at all
     """
 
     not_between: tuple[str, ...] = ()
@@ -40,10 +43,10 @@
 
 
 class Weights(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What machines cost, against what they usually do.
+    """Factors by which costs of machines differ from their defaults.
 
-    :ivar buffer: a machine that waits in a pool for work to come
-    :ivar moves: a machine that changes its pool
+    :ivar buffer: cost of an idle machine that a pool keeps for future work
+    :ivar moves: cost of moving a machine to another pool
     """
 
     buffer: float = 1.0
@@ -51,7 +54,7 @@
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """The content of an operators' file."""
+    """The content of a policy file."""
 
     pools: tuple[Pool, ...] = ()
     teams: tuple[Team, ...] = ()
@@ -60,12 +63,13 @@
 
 
 class Kept(msgspec.Struct, frozen=True):
-    """A policy as it lies in the store.
+    """A policy as the store holds it.
 
-    :ivar number: grows by one with each apply
-    :ivar text: the file as it was applied
-    :ivar operation: names the apply, so that its sender knows it again
-    :ivar at_ms: when it was applied, since 1970
+    :ivar number: version, which each apply increases by one
+    :ivar text: content of the file that was applied
+    :ivar author: who applied it
+    :ivar operation: id of the apply, by which its sender recognizes it
+    :ivar at_ms: when it was applied, in milliseconds since 1970
     """
 
     number: int
@@ -77,9 +81,9 @@
 
 
 NONE = Kept(0, Policy(), '', '', ids.OperationId(''), 0.0)
-"""What is in force before the first apply."""
+"""The policy in force before the first apply."""
 
 
 def min_up(policy: Policy) -> dict[ids.ServiceId, int]:
-    """Give how many machines each pool keeps up, by its name."""
+    """Return the minimal number of machines that are up, by pool."""
     return {pool.name: pool.min_up for pool in policy.pools}
--- a/oleanderwood/policy/reading.py
+++ b/oleanderwood/policy/reading.py
@@ -1,4 +1,4 @@
-"""Reading an operators' file: every fault is named, none is skipped."""
+"""Parses and validates a policy file, and reports all its faults at once."""
 
 import collections
 import collections.abc
@@ -13,31 +13,31 @@
 from oleanderwood.policy import model
 
 MAX_TEXT_BYTES = 256 << 10
-"""Largest file; 260 pools and 290 teams take about 40 KB."""
+"""Maximal size of a file; 260 pools and 290 teams take about 40 KB."""
 
-LEAST_WEIGHT = 0.1
-MOST_WEIGHT = 10.0
-"""Bounds of a weight: beyond them machines never rest, or never move."""
+MIN_WEIGHT = 0.1
+MAX_WEIGHT = 10.0
+"""Bounds of a weight; beyond them machines would always or never move."""
 
 LISTS = {'pools': model.Pool, 'teams': model.Team}
 TABLES = {'maintenance': model.Maintenance, 'weights': model.Weights}
 
 
 def read(text: str) -> model.Policy:
-    """Read a file.
+    """Return the policy of a file's text.
 
-    :raises ExceptionGroup: of :class:`errors.ConfigurationFault`, one for
-        each fault
+    :raises ExceptionGroup: the file is invalid; holds one
+        :class:`errors.ConfigurationFault` for each fault
     """
     faults: list[errors.ConfigurationFault] = []
-    policy = _policy(_tables(text, faults), faults)
-    faults += _check(policy)
+    policy = _build_policy(_parse(text, faults), faults)
+    faults += _validate(policy)
     if faults:
         raise ExceptionGroup('the file has faults', faults)
     return policy
 
 
-def _tables(text: str, faults: list) -> dict[str, typing.Any]:
+def _parse(text: str, faults: list) -> dict[str, typing.Any]:
     if len(text.encode()) > MAX_TEXT_BYTES:
         remedy = f'at most {MAX_TEXT_BYTES} bytes'
         faults.append(errors.ConfigurationFault('file', 'too long', remedy))
@@ -50,16 +50,16 @@
         return {}
 
 
-def _policy(tables: dict[str, typing.Any], faults: list) -> model.Policy:
+def _build_policy(tables: dict[str, typing.Any], faults: list) -> model.Policy:
     sections: dict[str, typing.Any] = {}
     for name, value in tables.items():
         if name in TABLES:
-            row = _converted(name, value, TABLES[name], faults)
+            row = _convert(name, value, TABLES[name], faults)
             if row is not None:
                 sections[name] = row
         elif name in LISTS and isinstance(value, list):
             rows = [
-                _converted(f'{name}[{index}]', row, LISTS[name], faults)
+                _convert(f'{name}[{index}]', row, LISTS[name], faults)
                 for index, row in enumerate(value)
             ]
             sections[name] = tuple(row for row in rows if row is not None)
@@ -72,7 +72,7 @@
     return model.Policy(**sections)
 
 
-def _converted(path: str, value, kind: type, faults: list):
+def _convert(path: str, value, kind: type, faults: list):
     try:
         return msgspec.convert(value, type=kind)
     except msgspec.ValidationError as error:
@@ -85,13 +85,13 @@
         return None
 
 
-def _check(
+def _validate(
     policy: model.Policy,
 ) -> collections.abc.Iterator[errors.ConfigurationFault]:
-    yield from _repeated('pools', [pool.name for pool in policy.pools])
-    yield from _repeated('teams', [team.name for team in policy.teams])
+    yield from _find_duplicates('pools', [pool.name for pool in policy.pools])
+    yield from _find_duplicates('teams', [team.name for team in policy.teams])
     queue_names = [name for team in policy.teams for name in team.queues]
-    yield from _repeated('teams.queues', queue_names)
+    yield from _find_duplicates('teams.queues', queue_names)
     for index, pool in enumerate(policy.pools):
         if pool.min_up < 0:
             yield errors.ConfigurationFault(
@@ -108,20 +108,20 @@
         if hours.read(text) is None:
             yield errors.ConfigurationFault(
                 f'maintenance.not_between[{index}]',
-                f'{text!r} are no hours',
-                'write them as in 05:00-07:30',
+                f'{text!r} is not a time range',
+                'write it as in 05:00-07:30',
             )
     for name in policy.weights.__struct_fields__:
         weight = getattr(policy.weights, name)
-        if not LEAST_WEIGHT <= weight <= MOST_WEIGHT:
+        if not MIN_WEIGHT <= weight <= MAX_WEIGHT:
             yield errors.ConfigurationFault(
                 f'weights.{name}',
                 f'{weight} is not allowed',
-                f'{LEAST_WEIGHT:g} to {MOST_WEIGHT:g}',
+                f'{MIN_WEIGHT:g} to {MAX_WEIGHT:g}',
             )
 
 
-def _repeated(path: str, names: list[str]):
+def _find_duplicates(path: str, names: list[str]):
     for name, count in collections.Counter(names).items():
         if count > 1:
             yield errors.ConfigurationFault(
@@ -132,9 +132,10 @@
 def unknown_names(
     policy: model.Policy, configuration: queues.Configuration
 ) -> list[str]:
-    """Name the pools and queues that the platform doesn't have now.
+    """Return the pools and queues of a policy that the platform lacks.
 
-    That is no fault: the platform's configuration changes by itself.
+    They are no fault, since the platform's configuration changes
+    independently.
     """
     services = set(configuration.services)
     known = {queue.name for queue in configuration.queues}
@@ -152,22 +153,22 @@
 
 
 def differences(before: model.Policy, after: model.Policy) -> list[str]:
-    """Tell what changes from one policy to another, a line each."""
-    old, new = _flat(before), _flat(after)
+    """Describe the changes from one policy to another, a line each."""
+    old, new = _flatten(before), _flatten(after)
     lines = []
     for path in sorted({*old, *new}):
         if old.get(path) != new.get(path):
             lines.append(
-                f'{path}: {_told(old.get(path))} -> {_told(new.get(path))}'
+                f'{path}: {_dump(old.get(path))} -> {_dump(new.get(path))}'
             )
     return lines
 
 
-def _told(value: typing.Any) -> str:
+def _dump(value: typing.Any) -> str:
     return 'nothing' if value is None else msgspec.json.encode(value).decode()
 
 
-def _flat(policy: model.Policy) -> dict[str, typing.Any]:
+def _flatten(policy: model.Policy) -> dict[str, typing.Any]:
     rows: dict[str, typing.Any] = {}
     for section in LISTS:
         for row in getattr(policy, section):
@@ -188,7 +189,7 @@
 
 
 def decode(value: bytes) -> model.Kept:
-    """Decode what :func:`encode` made.
+    """Decode a policy that :func:`encode` has encoded.
 
     :raises msgspec.MsgspecError: the value is malformed
     """
--- a/oleanderwood/tenants/__init__.py
+++ b/oleanderwood/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: whose keys open the queues, and what each may have running."""
+"""Tenants: authentication of callers by keys, and limits of what runs."""
--- a/oleanderwood/tenants/access.py
+++ b/oleanderwood/tenants/access.py
@@ -1,4 +1,4 @@
-"""Whether a caller's key opens a queue, and whose jobs it opens. Pure."""
+"""Authorization of callers for queues and for the jobs of tenants. Pure."""
 
 import dataclasses
 
@@ -7,18 +7,19 @@
 from oleanderwood.tenants import model
 
 NOBODY = ids.TenantId('')
-"""Who calls without a key, and whose the jobs are that it hands in."""
+"""Stands for the tenant of callers without a key, and of their jobs."""
 
-MOST_REVOKED = 10_000
-"""Keys remembered as revoked; a digest takes about 150 bytes."""
+MAX_REVOKED = 10_000
+"""Maximal number of revoked keys that are remembered; each digest takes about
+150 bytes."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Denied:
     """Why a call is refused.
 
-    :ivar tenant: whose key it was, if it was one
-    :ivar version: the configuration that took the key away
+    :ivar tenant: former tenant of a revoked key
+    :ivar version: version of the configuration that revoked the key
     """
 
     reason: credentials.Denial
@@ -28,9 +29,10 @@
 
 @dataclasses.dataclass
 class Revoked:
-    """Keys that configurations have taken away; only logs read it.
+    """Keys that configurations have revoked; used for logging only.
 
-    :ivar keys: tenant and version by digest, the earliest first
+    :ivar keys: tenant and version of the configuration, by digest, the
+        earliest revoked first
     """
 
     keys: dict[ids.KeyDigest, tuple[ids.TenantId, int]] = dataclasses.field(
@@ -41,36 +43,37 @@
 def judge(
     tenants: model.Tenants | None,
     public: bool,
-    shown: ids.KeyDigest | credentials.Denial,
+    presented: ids.KeyDigest | credentials.Denial,
     revoked: Revoked,
 ) -> ids.TenantId | Denied:
-    """Say which tenant calls, or why the call isn't allowed.
+    """Return the calling tenant, or why the call is denied.
 
-    A key that is shown has to be good, at public queues too: who shows a
-    revoked one should hear of it.
+    A presented key must be valid at public queues too, so that a caller with
+    a revoked key gets an error.
 
-    :param tenants: None: this deployment has none, and nobody needs a key
-    :param public: the call's queue takes calls without a key
+    :param tenants: None if the deployment has no tenants and needs no keys
+    :param public: the queue accepts calls without a key
+    :param presented: digest of the request's key, or why it has none
     """
     if tenants is None:
         return NOBODY
-    if isinstance(shown, credentials.Denial):
-        if public and shown is credentials.Denial.NO_KEY:
+    if isinstance(presented, credentials.Denial):
+        if public and presented is credentials.Denial.NO_KEY:
             return NOBODY
-        return Denied(shown)
-    owner = tenants.by_key.get(shown)
+        return Denied(presented)
+    owner = tenants.by_key.get(presented)
     if owner is not None:
         return owner
-    if shown in revoked.keys:
-        tenant, version = revoked.keys[shown]
+    if presented in revoked.keys:
+        tenant, version = revoked.keys[presented]
         return Denied(credentials.Denial.REVOKED, tenant, version)
     return Denied(credentials.Denial.UNKNOWN)
 
 
 def may_touch(owner: ids.TenantId, tenant: ids.TenantId) -> bool:
-    """Say whether a calling tenant may read, cancel or repeat a tenant's job.
+    """Return whether a tenant may read, cancel or resubmit an owner's job.
 
-    Jobs of nobody's are open to all who may call their queue.
+    Jobs without a tenant are open to all callers of their queue.
     """
     return owner in (NOBODY, tenant)
 
@@ -81,16 +84,16 @@
     after: model.Tenants | None,
     version: int,
 ) -> int:
-    """Remember the keys that a configuration takes away; gives how many."""
+    """Record the keys that a configuration revokes; return their number."""
     if after is not None:
         for key in after.by_key:
             revoked.keys.pop(key, None)
     if before is None:
         return 0
-    kept = after.by_key if after is not None else {}
-    taken = [key for key in before.by_key if key not in kept]
-    for key in taken:
+    valid = after.by_key if after is not None else {}
+    removed = [key for key in before.by_key if key not in valid]
+    for key in removed:
         revoked.keys[key] = (before.by_key[key], version)
-    while len(revoked.keys) > MOST_REVOKED:
+    while len(revoked.keys) > MAX_REVOKED:
         del revoked.keys[next(iter(revoked.keys))]
-    return len(taken)
+    return len(removed)
--- a/oleanderwood/tenants/credentials.py
+++ b/oleanderwood/tenants/credentials.py
@@ -1,4 +1,4 @@
-"""The key that a request's head carries, of which only a digest is kept."""
+"""Parses the key of a request's headers; only its digest is retained."""
 
 import enum
 import hashlib
@@ -6,14 +6,14 @@
 from oleanderwood import ids
 
 SCHEME = b'token'
-"""In lower case; schemes are compared without regard to case."""
+"""Authorization scheme in lower case; schemes are case-insensitive."""
 
 MAX_KEY_BYTES = 256
-"""Longer keys are refused unhashed."""
+"""Longer keys are rejected without being hashed."""
 
 
 class Denial(enum.Enum):
-    """Why a request is not allowed."""
+    """Reason for which a request is denied."""
 
     NO_KEY = 'no key'
     MALFORMED = 'a malformed header'
@@ -24,18 +24,19 @@
 
 
 def digest(key: bytes) -> ids.KeyDigest:
-    """Give what is kept of a key.
+    """Return the digest of a key, the only form in which it is retained.
 
-    Looking a digest up tells nothing of a key by the time that it takes.
+    The time that the lookup of a digest takes reveals nothing about the key.
     """
     return ids.KeyDigest(hashlib.sha256(key).digest())
 
 
 def parse(values: list[bytes]) -> ids.KeyDigest | Denial:
-    """Read the values of a request's ``Authorization`` headers.
+    """Return the key's digest from a request's ``Authorization`` headers.
 
-    The key itself is compared to the letter; white space around it isn't
-    part of it.
+    The key is case-sensitive; surrounding white space isn't part of it.
+
+    :return: the digest, or why there is no well-formed key
     """
     if not values:
         return Denial.NO_KEY
--- a/oleanderwood/tenants/model.py
+++ b/oleanderwood/tenants/model.py
@@ -1,4 +1,4 @@
-"""Tenants as the operator's configuration names them."""
+"""Tenants as defined by the operator's configuration."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 
 class Limit(msgspec.Struct, frozen=True):
-    """What a tenant may have running in all pools together; 0: no limit."""
+    """Limit of what a tenant runs in all pools together; 0 for no limit."""
 
     cpu_millicores: int = 0
     memory_mb: int = 0
@@ -18,8 +18,8 @@
 class Tenant(msgspec.Struct, frozen=True):
     """One tenant.
 
-    :ivar weight: its share where pools are full, and the jobs a second that
-        it may count on
+    :ivar weight: its relative share of full pools, and its guaranteed number
+        of jobs per second
     """
 
     name: ids.TenantId
@@ -31,8 +31,8 @@
 class Tenants:
     """All tenants of a configuration.
 
-    :ivar by_key: the tenant that each key belongs to, by the key's digest
-    :ivar faults: why entries of the configuration open nothing
+    :ivar by_key: tenant of each valid key, by the key's digest
+    :ivar faults: why entries or keys of the configuration are ignored
     """
 
     by_name: dict[ids.TenantId, Tenant] = dataclasses.field(
@@ -46,19 +46,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-    """One well-formed entry of a configuration, with the keys it lists."""
+    """One well-formed tenant entry of a configuration, with its keys."""
 
     tenant: Tenant
     keys: tuple[ids.KeyDigest, ...]
 
 
 def collect(rows: list[Row], faults: list[str]) -> Tenants:
-    """Put the entries of a configuration together.
+    """Combine the tenant entries of a configuration.
 
-    A key that two tenants list opens nothing: whose jobs it may touch isn't
-    known. Their other keys stay good.
+    A key that two tenants list is invalid, since its owner is ambiguous.
+    Their other keys stay valid.
 
-    :param faults: of entries that aren't well-formed
+    :param faults: faults of the entries that aren't well-formed
     """
     faults = list(faults)
     by_name: dict[ids.TenantId, Tenant] = {}
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -42,7 +42,7 @@
         _crash(4, 1500, True, doubt_ms=1500),
     ],
     'one crash unheard of': [
-        Crash(crashes_.UNHEARD),
+        Crash(crashes_.UNREPORTED),
         _crash(2, 900, doubt_ms=900),
         _crash(3, 800, True, doubt_ms=800),
         _crash(4, 1500, True, doubt_ms=1500),
@@ -76,7 +76,7 @@
         _crash(2, LATER),
         _crash(3, 100, True),
     ],
-    'only heard of as unheard of': [Crash(crashes_.UNHEARD)],
+    'only heard of as unheard of': [Crash(crashes_.UNREPORTED)],
 }
 
 
@@ -202,7 +202,7 @@
     assert isolation.startable(group) == [tasks[1]]
     build.start(ledger, tasks[1], worker)
     assert not isolation.startable(group)
-    assert isolation.note_going_on(tasks[1], crashes_.LEAST_PROBATION_S)
+    assert isolation.note_going_on(tasks[1], crashes_.MIN_PROBATION_S)
     assert isolation.startable(group) == [tasks[2], tasks[3]]
     for task in tasks[2:4]:
         build.start(ledger, task, worker)
@@ -256,7 +256,7 @@
     found = later.entries[entry.job.job]
     record.restore(later, found, progress, 20.0)
     task = build.task(later)
-    assert set(task.crashes) == {crashes_.UNHEARD, 1}
+    assert set(task.crashes) == {crashes_.UNREPORTED, 1}
     assert task.index in task.group.suspects
     assert ledgers.next_attempt(later, task) == 1001
     # The run is heard of: nothing was lost with the leader.
