--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which tasks a worker's crash is put down to, and what becomes of them."""
+"""Tests of attributing crashes of workers to tasks, and of isolating these."""
 
 import curio
 import pytest
@@ -17,8 +17,8 @@
 from tests import utils_takeover as takeovers
 
 Crash = crashes_.Crash
-AT_ONCE = 10
-LATER = 400
+EARLY_MS = 10
+LATE_MS = 400
 
 
 def _crash(attempt, age_ms, isolated=False, doubt_ms=0):
@@ -27,13 +27,13 @@
 
 GUILTY = {
     'twice at once, the second isolated': [
-        _crash(1, AT_ONCE),
-        _crash(2, AT_ONCE, True),
+        _crash(1, EARLY_MS),
+        _crash(2, EARLY_MS, True),
     ],
     'three times at the same age': [
-        _crash(1, LATER),
-        _crash(2, LATER + 20),
-        _crash(3, LATER - 10, True),
+        _crash(1, LATE_MS),
+        _crash(2, LATE_MS + 20),
+        _crash(3, LATE_MS - 10, True),
     ],
     'in silence, twice isolated': [
         _crash(1, 900, doubt_ms=900),
@@ -41,7 +41,7 @@
         _crash(3, 800, True, doubt_ms=800),
         _crash(4, 1500, True, doubt_ms=1500),
     ],
-    'one crash unheard of': [
+    'one unreported crash': [
         Crash(crashes_.UNREPORTED),
         _crash(2, 900, doubt_ms=900),
         _crash(3, 800, True, doubt_ms=800),
@@ -50,11 +50,11 @@
 }
 
 NOT_GUILTY = {
-    'one crash': [_crash(1, AT_ONCE, True)],
-    'twice at once beside others': [_crash(1, AT_ONCE), _crash(2, AT_ONCE)],
+    'one crash': [_crash(1, EARLY_MS, True)],
+    'twice at once beside others': [_crash(1, EARLY_MS), _crash(2, EARLY_MS)],
     'at once, then late where nothing else was': [
-        _crash(1, AT_ONCE),
-        _crash(2, LATER, True),
+        _crash(1, EARLY_MS),
+        _crash(2, LATE_MS, True),
     ],
     'twice at once, at unlike ages': [
         _crash(1, 3),
@@ -67,16 +67,16 @@
     ],
     'beside others all the time': [
         _crash(1, 900),
-        _crash(2, LATER),
+        _crash(2, LATE_MS),
         _crash(3, 200),
         _crash(4, 1500),
     ],
     'three unlike ones, the last isolated': [
         _crash(1, 900),
-        _crash(2, LATER),
+        _crash(2, LATE_MS),
         _crash(3, 100, True),
     ],
-    'only heard of as unheard of': [Crash(crashes_.UNREPORTED)],
+    'only an unreported crash': [Crash(crashes_.UNREPORTED)],
 }
 
 
@@ -92,50 +92,52 @@
 
 
 def test_no_task_is_started_a_third_time_after_three_crashes():
-    """Whatever speaks for it, if it is isolated from then on."""
+    """Two more, isolated ones suffice even if no age is known."""
     beside = [_crash(attempt, -1) for attempt in (1, 2, 3)]
     isolated = [_crash(attempt, -1, True) for attempt in (4, 5)]
     assert crashes_.is_guilty([*beside, *isolated])
 
 
-def _losing(count, ages_s, gone_s=10.0):
-    """Give a ledger, its tasks, and a worker that goes under them."""
+def _worker_that_crashes(count, ages_s, crashed_s=10.0):
+    """Build a ledger, its tasks, and a worker that crashes under them."""
     ledger = build.ledger_with(build.job(build.step(count)))
     tasks = [build.task(ledger, index=index) for index in range(count)]
     worker = build.worker()
     for task, age_s in zip(tasks, ages_s, strict=True):
-        run = build.start(ledger, task, worker, gone_s - age_s)
-        run.sent, run.sent_s = True, gone_s - age_s
-    worker.silent_since_s = worker.silent_after_s = gone_s
+        run = build.start(ledger, task, worker, crashed_s - age_s)
+        run.sent, run.sent_s = True, crashed_s - age_s
+    worker.silent_since_s = worker.silent_after_s = crashed_s
     return ledger, tasks, worker
 
 
-def _go(ledger, worker, common=False, now_s=10.2):
+def _crash_worker(ledger, worker, common=False, now_s=10.2):
     losses = workers_.note_losses(worker, now_s)
     suspected = blame.put_down(ledger, losses, common, now_s)
     workers_.lost(ledger, worker, now_s)
     return suspected
 
 
-def test_what_was_started_at_the_last_moment_is_suspected_alone():
-    ledger, tasks, worker = _losing(3, (0.01, 0.5, 2.0))
-    assert _go(ledger, worker) == [tasks[0]]
+def test_run_started_just_before_the_crash_is_suspected_alone():
+    ledger, tasks, worker = _worker_that_crashes(3, (0.01, 0.5, 2.0))
+    assert _crash_worker(ledger, worker) == [tasks[0]]
     assert [len(task.crashes) for task in tasks] == [1, 1, 1]
 
 
-def test_nothing_is_suspected_where_workers_go_together():
-    ledger, tasks, worker = _losing(2, (0.01, 0.5))
-    gone_s = worker.silent_since_s
-    assert blame.is_common(gone_s, [gone_s - 0.05, gone_s + 0.02, 1.0])
-    assert not blame.is_common(gone_s, [gone_s - 0.05, 1.0])
-    assert not _go(ledger, worker, common=True)
+def test_no_task_is_suspected_if_workers_crash_together():
+    ledger, tasks, worker = _worker_that_crashes(2, (0.01, 0.5))
+    crashed_s = worker.silent_since_s
+    assert blame.is_common(
+        crashed_s, [crashed_s - 0.05, crashed_s + 0.02, 1.0]
+    )
+    assert not blame.is_common(crashed_s, [crashed_s - 0.05, 1.0])
+    assert not _crash_worker(ledger, worker, common=True)
 
 
 def test_run_on_probation_is_blamed_alone_beside_settled_ones():
-    ledger, tasks, worker = _losing(3, (0.02, 1.5, 3.0))
-    isolation.note(ledger, tasks[0], _crash(1, AT_ONCE), 1.0)
+    ledger, tasks, worker = _worker_that_crashes(3, (0.02, 1.5, 3.0))
+    isolation.note(ledger, tasks[0], _crash(1, EARLY_MS), 1.0)
     tasks[0].run.attempt = 2
-    assert _go(ledger, worker) == [tasks[0]]
+    assert _crash_worker(ledger, worker) == [tasks[0]]
     assert tasks[0].crashes[2].isolated
     assert not tasks[1].crashes and not tasks[2].crashes
     assert tasks[0].group.entry.state is model.State.FAILED
@@ -143,10 +145,10 @@
 
 
 def test_run_on_probation_shares_the_blame_with_a_young_one():
-    ledger, tasks, worker = _losing(2, (0.02, 0.5))
-    isolation.note(ledger, tasks[0], _crash(1, AT_ONCE), 1.0)
+    ledger, tasks, worker = _worker_that_crashes(2, (0.02, 0.5))
+    isolation.note(ledger, tasks[0], _crash(1, EARLY_MS), 1.0)
     tasks[0].run.attempt = 2
-    _go(ledger, worker)
+    _crash_worker(ledger, worker)
     assert not tasks[0].crashes[2].isolated
     assert tasks[1].crashes
     assert not ledgers.final(tasks[0].group.entry)
@@ -161,15 +163,15 @@
         run.sent, run.sent_s = True, 10.0 * crash
         run.at_work_since_s = 10.0 * crash + 1.0
         worker.silent_since_s = worker.silent_after_s = 10.0 * crash + 5.0
-        _go(ledger, worker, now_s=10.0 * crash + 5.0)
+        _crash_worker(ledger, worker, now_s=10.0 * crash + 5.0)
     assert not task.crashes
 
 
-def test_run_that_is_heard_of_again_clears_its_task():
-    """What looked like a crash was a cut."""
-    ledger, tasks, worker = _losing(1, (0.01,))
+def test_reported_run_clears_the_crash_of_its_task():
+    """The worker had not crashed; its connection had been cut."""
+    ledger, tasks, worker = _worker_that_crashes(1, (0.01,))
     attempt = tasks[0].run.attempt
-    assert _go(ledger, worker) == tasks
+    assert _crash_worker(ledger, worker) == tasks
     report = build.report(ended=[(1, tasks[0].name, attempt, _LAPSED)])
     build.take(ledger, worker, report, 20.0, 20.0)
     assert not tasks[0].crashes and not tasks[0].group.suspects
@@ -179,17 +181,17 @@
 
 
 def _suspected(count, suspects):
-    """Give a ledger with a step, some of whose tasks are suspected."""
+    """Build a ledger with one step, and suspect some of its tasks."""
     ledger = build.ledger_with(build.job(build.step(count)))
     tasks = [build.task(ledger, index=index) for index in range(count)]
     for index in suspects:
-        isolation.note(ledger, tasks[index], _crash(1, AT_ONCE), 1.0)
+        isolation.note(ledger, tasks[index], _crash(1, EARLY_MS), 1.0)
     entry = tasks[0].group.entry
     entry.crashes_kept = entry.crashes_noted
     return ledger, tasks, entry
 
 
-def test_suspected_task_waits_until_its_crash_is_kept():
+def test_suspected_task_waits_until_its_crash_is_stored():
     _ledger, tasks, entry = _suspected(1, [0])
     assert isolation.startable(tasks[0].group) == tasks
     entry.crashes_noted += 1
@@ -228,7 +230,7 @@
     build.start(ledger, first, settled, 5.0)
     build.start(ledger, second, young, 9.9)
     assert _place(tasks, [young, settled]) == [(tasks[0], 'w1')]
-    # Where all have something young, one is kept free until that settles.
+    # If all workers have young runs, one is reserved until these settle.
     assert not _place(tasks, [young])
     third = build.job(build.step(1), name='c' * 16)
     ledgers.add(ledger, third, 0.0)
@@ -248,9 +250,9 @@
     assert _place(other, [worker]) == [(other[0], 'w1')]
 
 
-def test_crashes_outlive_the_leader_and_the_next_start_counts_ahead():
+def test_crashes_and_the_next_start_survive_a_change_of_leader():
     ledger, tasks, entry = _suspected(2, [0])
-    tasks[1].crashes[1] = _crash(1, LATER)
+    tasks[1].crashes[1] = _crash(1, LATE_MS)
     progress = record.progress_of(entry)
     later = build.ledger_with(entry.job, term=2, inherited=True)
     found = later.entries[entry.job.job]
@@ -259,7 +261,7 @@
     assert set(task.crashes) == {crashes_.UNREPORTED, 1}
     assert task.index in task.group.suspects
     assert ledgers.next_attempt(later, task) == 1001
-    # The run is heard of: nothing was lost with the leader.
+    # A report lists the run, so the leader lost no crash.
     report = build.report(running=[(task.name, 2)])
     build.take(later, build.worker(), report, 20.0, 20.0)
     assert set(task.crashes) == {1}
@@ -276,7 +278,7 @@
         step: int
         done: str = '0'
 
-    new = record.GroupProgress(0, 1, '3', crashes={0: [_crash(1, AT_ONCE)]})
+    new = record.GroupProgress(0, 1, '3', crashes={0: [_crash(1, EARLY_MS)]})
     encoded = record.msgspec.json.encode(new)
     earlier = record.msgspec.json.decode(encoded, type=Earlier)
     assert earlier.done == '3'
@@ -285,22 +287,24 @@
 def test_crashes_under_the_members_of_a_gang_count_together():
     ledger = build.ledger_with(build.job(build.step(2, gang=True)))
     tasks = [build.task(ledger, index=index) for index in (0, 1)]
-    isolation.note(ledger, tasks[0], _crash(1, AT_ONCE), 1.0)
+    isolation.note(ledger, tasks[0], _crash(1, EARLY_MS), 1.0)
     assert set(tasks[0].group.suspects) == {0, 1}
     entry = tasks[0].group.entry
-    isolation.note(ledger, tasks[1], _crash(2, AT_ONCE, True), 2.0)
-    # So far one worker has gone under each of them.
+    isolation.note(ledger, tasks[1], _crash(2, EARLY_MS, True), 2.0)
+    # So far, each member has only one crash of its own.
     assert not ledgers.final(entry)
-    isolation.note(ledger, tasks[1], _crash(3, AT_ONCE, True), 3.0)
+    isolation.note(ledger, tasks[1], _crash(3, EARLY_MS, True), 3.0)
     assert entry.state is model.State.FAILED
 
 
 @pytest.mark.parametrize('others', [0, 2])
-def test_workers_that_go_at_once_suspect_nobody(others, monkeypatch):
-    """They are found to be gone one after another."""
+def test_workers_that_crash_at_the_same_time_suspect_no_task(
+    others, monkeypatch
+):
+    """The leader detects their crashes one after another."""
     events = utils_leading.record_events(monkeypatch)
 
-    async def story(scene):
+    async def scenario(scene):
         step = takeovers.step(3, 16000, 3000)
         await takeovers.hand_in(scene, takeovers.leader(scene), step)
         await curio.sleep(0.03)
@@ -310,6 +314,6 @@
                 fleets.crash, scene.fleet, machine, 2.0, True, daemon=True
             )
 
-    takeovers.play(story)
+    takeovers.play(scenario)
     suspected = [event for event in events if event[1] == 'suspected']
     assert bool(suspected) == (others == 0)
--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -1,4 +1,4 @@
-"""Tests of hours."""
+"""Tests of daily time ranges."""
 
 import pytest
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of jobs and of the runs of their tasks."""
+"""Tests of the state of jobs and of the runs of their tasks."""
 
 import pytest
 
@@ -61,7 +61,7 @@
     assert run.attempt > 2 * ledgers.ATTEMPTS_PER_TERM
 
 
-def test_job_is_shown_as_completed_only_once_that_is_kept():
+def test_job_is_shown_as_completed_only_once_that_is_stored():
     ledger = build.ledger_with(build.job())
     entry = ledger.entries[build.JOB]
     ledgers.mark_done(ledger, build.task(ledger), 1.0)
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -1,4 +1,4 @@
-"""Tests of which progress is written next, and up to where it is."""
+"""Tests of which changes are written next and which are written."""
 
 import hypothesis
 from hypothesis import strategies
@@ -33,7 +33,7 @@
 
 
 def test_job_that_is_being_written_waits_for_its_next_write():
-    """Of two writes of one job the older could be the last to be done."""
+    """Of two concurrent writes of a job, the older could take effect last."""
     ledger = _ledger()
     _change(ledger, NAMES[0])
     first = persistence.take_up(ledger, 9)
@@ -61,7 +61,7 @@
     assert persistence.written_up_to(ledger) == 3
 
 
-ACTS = strategies.lists(
+ACTIONS = strategies.lists(
     strategies.one_of(
         strategies.tuples(
             strategies.just('change'), strategies.integers(0, 3)
@@ -73,23 +73,23 @@
 )
 
 
-@hypothesis.given(ACTS)
-def test_written_means_that_the_store_has_it(acts):
-    """Held against a store that keeps the number of each job's last change."""
+@hypothesis.given(ACTIONS)
+def test_written_means_that_the_store_has_it(actions):
+    """Compare with a store that holds the number of each job's last change."""
     ledger = _ledger()
     changes = []
     stored = dict.fromkeys(NAMES, 0)
     writes = []
-    for act, what in acts:
-        if act == 'change' and changes.count(NAMES[what]) < 9:
-            _change(ledger, NAMES[what])
-            changes.append(NAMES[what])
-        elif act == 'take up':
-            taken = persistence.take_up(ledger, what)
+    for action, value in actions:
+        if action == 'change' and changes.count(NAMES[value]) < 9:
+            _change(ledger, NAMES[value])
+            changes.append(NAMES[value])
+        elif action == 'take up':
+            taken = persistence.take_up(ledger, value)
             writes.append((taken, len(changes)))
-        elif act == 'written' and writes:
+        elif action == 'written' and writes:
             taken, at = writes.pop(0)
-            if not what:
+            if not value:
                 persistence.note_failed(ledger, taken)
                 continue
             persistence.note_written(ledger, taken)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' file: reading, faults, differences."""
+"""Tests of policy files: parsing, validation and differences."""
 
 import hypothesis
 from hypothesis import strategies
@@ -45,7 +45,7 @@
     assert reading.read('') == model.NONE.policy
 
 
-def test_all_faults_are_named_at_once():
+def test_all_faults_are_reported_at_once():
     faults = _faults(
         """
         [[pools]]
@@ -89,7 +89,7 @@
 
 
 @hypothesis.given(strategies.text(max_size=200))
-def test_no_text_is_a_surprise(text):
+def test_any_text_is_read_or_reported_as_invalid(text):
     try:
         reading.read(text)
     except ExceptionGroup as group:
@@ -107,12 +107,12 @@
     assert 'teams.directors.max_cores: 200.0 -> nothing' in gone
 
 
-def test_names_that_the_platform_lacks_are_told():
+def test_names_that_the_platform_lacks_are_reported():
     known = queues.Configuration(1, (), (ids.ServiceId('drafts'),))
     unknown = reading.unknown_names(reading.read(GOOD), known)
     assert unknown == ['queue sheet-draft of team directors']
 
 
-def test_kept_policy_is_decoded_as_it_was_encoded():
-    kept = model.Kept(3, reading.read(GOOD), GOOD, 'ana', 'op', 5.0)
-    assert reading.decode(reading.encode(kept)) == kept
+def test_stored_policy_is_decoded_as_it_was_encoded():
+    stored = model.Kept(3, reading.read(GOOD), GOOD, 'ana', 'op', 5.0)
+    assert reading.decode(reading.encode(stored)) == stored
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""Tests of which queue a path belongs to."""
+"""Tests of finding the queue of a path."""
 
 from oleanderwood.jobs import queues
 from tests import utils_jobs as build
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -1,12 +1,9 @@
-"""Who may call: keys, public queues, and jobs of other tenants.
-
-What users saw: calls with keys that no configuration ever held, or that had
-been taken away long before, were answered as if they were good.
-Order of events: a caller shows such a key at a queue that isn't public; the
-server hands its job in, tells its state, cancels it.
-Cause: the front end read no key at all, and a configuration's tenants were
-passed over.
-Evidence: each call below was answered with 200.
+"""Tests of who may call: keys, public queues, and jobs of other tenants.
+
+Guards against accepting keys that are unknown or that were revoked long ago.
+The front end read no key at all and ignored the tenants of a configuration:
+a caller with such a key at a queue that isn't public could submit a job, read
+its state and cancel it. Each of the calls below was answered with 200.
 """
 
 import json
@@ -22,12 +19,12 @@
 
 DENIAL = credentials.Denial
 
-STRANGE = 'no-such-key'
+UNKNOWN_KEY = 'no-such-key'
 
 
 @pytest.mark.parametrize('method', ['POST', 'GET', 'DELETE'])
-@pytest.mark.parametrize('key', [None, STRANGE, build.FIRST.upper(), ''])
-def test_without_a_good_key_no_call_is_answered(method, key):
+@pytest.mark.parametrize('key', [None, UNKNOWN_KEY, build.FIRST.upper(), ''])
+def test_call_without_a_valid_key_is_denied(method, key):
     async def main(world, rows):
         assert (
             await build.status(world, rows[0], 'POST', key=build.FIRST) == 200
@@ -40,14 +37,14 @@
     assert build.run(main) == b'a valid key is needed\n'
 
 
-def test_stranger_learns_of_no_queue_and_no_job():
-    """The same answer, whether there is such a thing or not."""
+def test_unauthorized_caller_cannot_discover_queues_or_jobs():
+    """The answer is the same whether the queue or job exists or not."""
 
     async def main(world, rows):
         await build.status(world, rows[0], 'POST', key=build.FIRST)
         answers = []
         for path in (build.PATH, '/nothing/', build.PATH + build.JOB):
-            for key in (None, STRANGE):
+            for key in (None, UNKNOWN_KEY):
                 answer = await build.ask(world, rows[1], 'GET', path, key)
                 answers.append((answer.status, answer.body))
         return answers
@@ -55,7 +52,7 @@
     assert len(set(build.run(main))) == 1
 
 
-def test_good_key_opens_queues_counts_and_ends():
+def test_valid_key_allows_submission_status_count_and_cancellation():
     async def main(world, rows):
         calls = [
             ('POST', build.PATH + build.JOB),
@@ -72,12 +69,12 @@
     assert build.run(main) == [200, 200, 200, 200, 404]
 
 
-def test_public_queue_needs_no_key_but_refuses_a_bad_one():
+def test_public_queue_needs_no_key_but_denies_an_unknown_one():
     async def main(world, rows):
         path = build.OPEN_PATH + build.JOB
         return [
             await build.status(world, rows[0], 'POST', path, key)
-            for key in (None, build.FIRST, STRANGE)
+            for key in (None, build.FIRST, UNKNOWN_KEY)
         ]
 
     assert build.run(main) == [200, 200, 401]
@@ -114,7 +111,7 @@
 
 
 def test_owner_is_known_without_the_leader():
-    """The store tells whose a job is, with or without progress."""
+    """The stored job names its tenant, with or without stored progress."""
 
     async def main(world, rows):
         await build.status(world, rows[0], 'POST', key=build.FIRST)
@@ -173,7 +170,7 @@
         ([b'Token ' + b'a' * 60_000], DENIAL.MALFORMED),
     ],
 )
-def test_malformed_header_is_told_apart(values, denial):
+def test_reason_of_denial_is_distinguished(values, denial):
     assert credentials.parse(values) is denial
 
 
@@ -188,7 +185,7 @@
     assert credentials.parse([b'Token A']) != credentials.digest(b'a')
 
 
-def test_key_of_two_tenants_opens_nothing_and_their_others_stay_good():
+def test_key_of_two_tenants_is_invalid_and_their_others_stay_valid():
     rows = [
         tenants_.Row(tenants_.Tenant('one'), (b'1', b'both')),
         tenants_.Row(tenants_.Tenant('two'), (b'2', b'both')),
@@ -211,7 +208,7 @@
 
 
 @pytest.mark.parametrize('fields', BAD.values(), ids=BAD)
-def test_malformed_tenant_opens_nothing_and_costs_no_other_anything(
+def test_malformed_tenant_has_no_access_and_affects_no_other(
     fields, monkeypatch
 ):
     lines = []
@@ -233,7 +230,7 @@
 
 
 @pytest.mark.parametrize('tenants', [{}, 'all', 7])
-def test_malformed_list_of_tenants_opens_nothing(tenants):
+def test_malformed_list_of_tenants_denies_all_keys(tenants):
     async def main(world, rows):
         await build.configure(world, version=8, tenants=tenants)
         await build.curio.sleep(1.5)
@@ -245,8 +242,8 @@
     assert build.run(main) == [401, 401]
 
 
-def test_queue_that_is_not_public_is_closed_without_tenants():
-    """A configuration that lacks its tenants opens no door."""
+def test_queue_that_is_not_public_denies_calls_without_tenants():
+    """A configuration that lacks its tenants gives nobody access."""
 
     async def main(world, rows):
         await build.configure(world, version=8, tenants=None)
@@ -264,7 +261,7 @@
         rows = await build.three_servers(world)
         return [
             await build.status(world, rows[0], 'POST', key=key)
-            for key in (None, STRANGE)
+            for key in (None, UNKNOWN_KEY)
         ]
 
     value = build.day.configuration()
--- a/tests/test_tenant_limits.py
+++ b/tests/test_tenant_limits.py
@@ -1,12 +1,11 @@
-"""What tenants may have running, in all pools together.
-
-What users saw: a tenant had more running than its limit and a tenth more.
-Order of events: a tenant's queues ask for five times their mean at the same
-time, and the pools have room for all of it.
-Cause: limits of tenants were not read; quotas of teams knew processor time of
-whole queues only, and none of lasting tasks.
-Evidence: with no limit known, each test below starts all that there is room
-for.
+"""Tests of the limits of what tenants run in all pools together.
+
+Guards against a tenant that runs more than its limit plus a tenth. The limits
+of tenants were not read; quotas of teams covered only the processor time of
+whole queues, and none of long-running tasks. It shows when the queues of a
+tenant ask for five times their mean at the same time while the pools have
+free capacity for all of it: without a limit, each test below starts all that
+fits.
 """
 
 import random
@@ -73,8 +72,8 @@
     assert _counts(decided) == {FIRST: 3, SECOND: 8}
 
 
-def test_task_that_needs_most_of_the_limit_does_not_wait_for_good():
-    """It may go beyond it where little runs, and nothing else starts."""
+def test_task_that_needs_most_of_the_limit_does_not_starve():
+    """It may exceed the limit while little runs, and nothing else starts."""
     ledger = build.ledger_with(
         _job(JOBS[0], build.step(1)), _job(JOBS[1], build.step(2, cpu=2500))
     )
@@ -84,7 +83,7 @@
 
 
 def test_nothing_goes_beyond_the_limit_while_starts_are_under_way():
-    """They arrive in any order: a small one would come above the limit."""
+    """A small start that arrives last would then exceed the limit."""
     ledger = build.ledger_with(
         _job(JOBS[0], build.step(1)), _job(JOBS[1], build.step(2, cpu=2500))
     )
@@ -92,8 +91,8 @@
     assert [row.task.group.entry.job.job for row in decided] == [JOBS[0]]
 
 
-def test_no_order_of_arrival_brings_a_tenant_above_its_limit():
-    """Drawn tasks; the last to arrive of all that were decided together."""
+def test_no_order_of_arrival_takes_a_tenant_above_its_limit():
+    """With random tasks, even if the smallest one arrives last."""
     rng = random.Random(1)
     for _ in range(300):
         steps = [
@@ -103,10 +102,10 @@
         ledger = build.ledger_with(
             *(_job(job, step) for job, step in zip(JOBS, steps, strict=False))
         )
-        most = rng.randint(1, 8)
-        decided = _decide(ledger, [build.worker()], {FIRST: _limit(most)})
+        cores = rng.randint(1, 8)
+        decided = _decide(ledger, [build.worker()], {FIRST: _limit(cores)})
         cpu = [row.task.group.step.needs.cpu_millicores for row in decided]
-        assert cpu and sum(cpu) - min(cpu) <= most * 1000
+        assert cpu and sum(cpu) - min(cpu) <= cores * 1000
 
 
 def test_task_larger_than_the_limit_runs_alone():
@@ -150,21 +149,21 @@
 }
 
 
-@pytest.mark.parametrize('strike', STATES.values(), ids=STATES)
-def test_run_that_may_go_on_counts(strike):
+@pytest.mark.parametrize('set_state', STATES.values(), ids=STATES)
+def test_run_that_may_go_on_counts(set_state):
     ledger = build.ledger_with(
         _job(JOBS[0], build.step(2)), _job(JOBS[1], build.step(6))
     )
     worker = build.worker('w2')
     for index in range(2):
         task = build.task(ledger, 0, index, JOBS[0])
-        strike(worker, build.start(ledger, task, worker))
+        set_state(worker, build.start(ledger, task, worker))
     pools = [build.worker()]
     decided = _decide(ledger, pools, {FIRST: _limit(3)}, [*pools, worker])
     assert len(decided) == 1
 
 
-def test_run_that_is_not_ours_counts_until_it_has_stopped():
+def test_unmanaged_run_counts_until_it_has_stopped():
     ledger = build.ledger_with(
         _job(JOBS[0], build.step(2)), _job(JOBS[1], build.step(6))
     )
@@ -178,18 +177,18 @@
     assert len(decided) == 1
 
 
-def test_what_an_earlier_leader_may_have_running_unheard_of_counts():
+def test_unreported_runs_of_an_earlier_leader_count():
     ledger = build.ledger_with(
         _job(JOBS[0], build.step(6)), _job(JOBS[1], build.step(6))
     )
-    unheard = build.task(ledger, 0, 0, JOBS[0]).group
-    for task in list(unheard.waiting.values()):
+    unreported = build.task(ledger, 0, 0, JOBS[0]).group
+    for task in list(unreported.waiting.values()):
         task.not_before_s = 9.0
     pools = [build.worker()]
-    for most, left in ((model.Resources(2000, 999), 2), (None, 0)):
-        unseen = quotas_.Unseen([unheard], most)
+    for max_use, starts in ((model.Resources(2000, 999), 2), (None, 0)):
+        unseen = quotas_.Unseen([unreported], max_use)
         decided = _decide(ledger, pools, {FIRST: _limit(4)}, unseen=unseen)
-        assert len(decided) == left
+        assert len(decided) == starts
 
 
 def test_limit_far_below_what_runs_starts_nothing_and_ends_nothing():
@@ -211,7 +210,7 @@
     assert len(_decide(ledger, [build.worker()], {FIRST: _limit(6)})) == 3
 
 
-def test_gang_wider_than_its_tenant_may_run_is_told_apart():
+def test_gang_that_exceeds_its_tenants_limit_is_detected():
     gang = build.step(3, cpu=2000, gang=True)
     assert quotas_.exceeds(gang, _limit(5))
     assert not quotas_.exceeds(gang, _limit(6))
@@ -229,8 +228,8 @@
         assert len(decided) == starts
 
 
-def test_what_may_not_run_asks_for_no_machines():
-    """The pool's demand is what its tenants may start, gangs whole."""
+def test_task_that_may_not_run_adds_no_demand():
+    """Demand counts what tenants may start, and gangs only as a whole."""
     ledger = build.ledger_with(
         _job(JOBS[0], build.step(6)),
         _job(JOBS[1], build.step(3, gang=True)),
@@ -242,7 +241,7 @@
     assert [quotas_.claim(quotas, group) for group in groups] == [4, 0, 2]
 
 
-def test_without_limits_nothing_is_held_back():
+def test_without_limits_all_tasks_start():
     ledger = build.ledger_with(_job(JOBS[0], build.step(6)))
     assert len(_decide(ledger, [build.worker()], {})) == 6
 
@@ -257,7 +256,7 @@
     )
 )
 def test_what_runs_is_counted_as_runs_begin_and_end(events):
-    """Whatever happens to runs, the sum is that of the runs there are."""
+    """After any events, the sum is that of the runs that remain."""
     ledger = build.ledger_with(
         _job(JOBS[0], build.step(3, cpu=500)),
         _job(JOBS[1], build.step(3, cpu=700)),
@@ -278,10 +277,10 @@
             ledgers.over(ledger, task, float(number))
         elif event == 'forget':
             ledgers.forget(ledger, task.group.entry.job.job)
-    there = sum(
+    expected = sum(
         task.group.step.needs.cpu_millicores
         for task in tasks
         if task.run is not None
     )
     counted = ledger.running.get(FIRST, ledgers.Running())
-    assert counted.cpu_millicores == there
+    assert counted.cpu_millicores == expected
--- a/tests/utils_jobs.py
+++ b/tests/utils_jobs.py
@@ -28,19 +28,22 @@
 
 
 def step(tasks: int = 1, **fields) -> model.Step:
-    """Build a step of tasks that take one core for a second."""
+    """Build a step of tasks that need one core for one second each."""
     needs = model.Resources(fields.pop('cpu', 1000), fields.pop('mem', 100))
     return model.Step(tasks, needs, **{'guess_ms': 1000.0, **fields})
 
 
 def job(*steps: model.Step, name: str = JOB, **fields) -> model.Job:
-    """Build a job of some steps, of one task if there are none."""
+    """Build a job of the given steps, or of one step with one task."""
     work = model.Work('text', steps or (step(),), **fields)
     return model.Job(ids.JobId(name), queue(), work)
 
 
 def ledger_with(*jobs: model.Job, term: int = 1, inherited: bool = False):
-    """Build a ledger that holds some jobs."""
+    """Build a ledger that holds the given jobs.
+
+    :param inherited: the jobs were accepted under the previous term
+    """
     ledger = ledgers.Ledger(term=term)
     accepted_under = term - 1 if inherited else term
     for row in jobs:
@@ -50,7 +53,7 @@
 
 
 def entry(name: str = 'w1', **fields) -> reports.Entry:
-    """Build a worker's entry: eight cores."""
+    """Build the entry of a worker with eight cores."""
     values = {
         'worker': ids.VmId(name),
         'service': POOL,
@@ -63,18 +66,18 @@
 
 
 def worker(name: str = 'w1', **fields) -> workers_.Worker:
-    """Build a worker that has answered."""
-    given = entry(name, **fields)
-    return workers_.Worker(given, fenced=True)
+    """Build a worker that has already answered this leader."""
+    entry_ = entry(name, **fields)
+    return workers_.Worker(entry_, fenced=True)
 
 
 def task(ledger: ledgers.Ledger, step: int = 0, index: int = 0, name=JOB):
-    """Give one task of a job."""
+    """Return one task of a job."""
     return ledger.entries[ids.JobId(name)].groups[0, step].tasks[index]
 
 
 def start(ledger, task_, worker_, now_s: float = 1.0) -> ledgers.Run:
-    """Start a task on a worker, and let the worker confirm it."""
+    """Record the start of a task on a worker, and its confirmation."""
     run = ledgers.begin(ledger, task_, worker_.entry.worker, now_s)
     worker_.runs[task_.name] = task_
     ledgers.set_phase(run, ledgers.RunPhase.RUNNING, now_s)
@@ -82,7 +85,11 @@
 
 
 def report(running=(), ended=(), own_clock_ms: float = 0.0) -> reports.Report:
-    """Build a report: rows of task and attempt, and ends in full."""
+    """Build a report.
+
+    :param running: rows of task, attempt and, optionally, percent
+    :param ended: rows of the arguments of :class:`reports.Ended`
+    """
     return reports.Report(
         own_clock_ms,
         [
@@ -94,7 +101,7 @@
 
 
 def take(ledger, worker_, report_, sent_s=2.0, now_s=2.0, attempts=2):
-    """Let a worker's report be taken over."""
+    """Apply a worker's report to a ledger."""
     return workers_.take_report(
         ledger, worker_, report_, sent_s, now_s, lambda entry_: attempts
     )
