--- a/oleanderwood/jobs/crashes.py
+++ b/oleanderwood/jobs/crashes.py
@@ -27,18 +27,18 @@
 """Two ages are similar if they differ by at most this constant plus this
 fraction of the age."""
 
-GUILTY_POINTS = 8
-"""Points at which a task is given up. Reached by two early crashes at similar
+CONCLUSIVE_POINTS = 8
+"""Points at which a task's job fails. Reached by two early crashes at similar
 ages, the second isolated; by three crashes at similar ages; or by two
 isolated crashes after two that other runs could have caused."""
 
-BESIDE_POINTS = 1
+NOT_ISOLATED_POINTS = 1
 ISOLATED_POINTS = 3
 EARLY_POINTS = 1
 SIMILAR_AGE_POINTS = 3
-"""Each crash counts ``BESIDE_POINTS``, or ``ISOLATED_POINTS`` if no other run
-could have caused it. An early crash and one at an age similar to an earlier
-crash's add their points."""
+"""Points of a crash: the first if other runs could have caused it, the second
+if none could; the third in addition if it was early, the fourth if an earlier
+crash came at a similar age."""
 
 MIN_PROBATION_S = 0.3
 MAX_PROBATION_S = 1.0
@@ -73,16 +73,16 @@
 
 
 def is_guilty(crashes: Crashes) -> bool:
-    """Return whether the evidence suffices to give up a task."""
+    """Return whether the evidence suffices to fail the task's job."""
     rows = sorted(crashes, key=lambda crash: crash.attempt)
     points = 0
     for number, row in enumerate(rows):
-        points += ISOLATED_POINTS if row.isolated else BESIDE_POINTS
+        points += ISOLATED_POINTS if row.isolated else NOT_ISOLATED_POINTS
         if _is_early(row):
             points += EARLY_POINTS
         if any(_have_similar_ages(row, other) for other in rows[:number]):
             points += SIMILAR_AGE_POINTS
-    return len(rows) > 1 and points >= GUILTY_POINTS
+    return len(rows) > 1 and points >= CONCLUSIVE_POINTS
 
 
 def _is_early(crash: Crash) -> bool:
--- a/oleanderwood/jobs/isolation.py
+++ b/oleanderwood/jobs/isolation.py
@@ -37,14 +37,14 @@
     update_suspects(task)
     entry.crashes_noted += 1
     ledgers.touch(ledger, entry)
-    if is_guilty(task):
+    if crashes_workers(task):
         found = len(crashes_of(task))
         entry.cause = f'{task.name} crashed {found} workers'
         ledgers.end(ledger, entry, model.State.FAILED, now_s)
 
 
-def is_guilty(task: ledgers.Task) -> bool:
-    """Return whether a task is given up.
+def crashes_workers(task: ledgers.Task) -> bool:
+    """Return whether a task is held to crash its workers.
 
     Even if the evidence against its gang suffices, one member must have at
     least two known crashes of its own.
