--- a/oleanderwood/jobs/ledger.py
+++ b/oleanderwood/jobs/ledger.py
@@ -54,15 +54,15 @@
     :ivar at_work_since_s: since when a long-running task serves; None if it
         doesn't
     :ivar percent: progress that the worker reported last
-    :ivar moved_on_s: when the run was confirmed or its reported progress last
-        changed; 0 before
+    :ivar moved_on_s: when the run was confirmed or its reported progress
+        last changed; 0 before
     :ivar pace_percent: part of its speed at which the worker was told to run
         it; None if unknown, as for an adopted run that uses leftover
         processor time: an earlier leader may have set a pace or not
     :ivar looked_at_s: when its progress was last sampled;
         ``looked_percent`` is the progress at that time
-    :ivar held_left_s: estimated time to its end while it is starved by other
-        runs; None if it isn't starved
+    :ivar held_left_s: estimated time to its end while other runs starve it;
+        None if it isn't starved
     :ivar sent: the order to start it may have left the leader, at ``sent_s``
         (None if the time is unknown)
     :ivar seen: its worker has listed it, so the order to start it was
@@ -104,8 +104,8 @@
     :ivar failed_on: worker on which a run of it last failed or stalled
     :ivar not_before_s: earliest time of the next start
     :ivar away_since_s: since when a long-running task hasn't served
-    :ivar given_up: a run of it was considered over without a report from its
-        worker
+    :ivar given_up: a run of it was considered over without a report from
+        its worker
     :ivar crashes: crashes of workers that may have run it, by attempt
     :ivar losses: number of its runs that may have ended with their worker
     :ivar relocated: number of its runs that were stopped to be restarted
--- a/oleanderwood/jobs/model.py
+++ b/oleanderwood/jobs/model.py
@@ -66,12 +66,12 @@
     :ivar max_per_worker: maximal number of tasks of the step on one worker;
         0 for no limit
     :ivar speculative: copies of a task may run at the same time
-    :ivar lasting: the tasks are long-running, until the job is cancelled
+    :ivar lasting: the tasks run until the job is cancelled
     :ivar latency_target_ms: limit of a serving task's latency; 0 if the tasks
         don't serve
     :ivar uses_leftover: the tasks use the processor time that others leave
-    :ivar most_away: maximal number of tasks that may be down at once because
-        of the leader's own orders
+    :ivar most_away: maximal number of tasks that may be down at once
+        because of the leader's own orders
     """
 
     tasks: int
