--- a/oleanderwood/pools/__init__.py
+++ b/oleanderwood/pools/__init__.py
@@ -1,1 +1,1 @@
-"""Workers of pools: reports, leases, room, and where tasks start."""
+"""Workers of pools: reports, leases, free capacity and task placement."""
--- a/oleanderwood/pools/blame.py
+++ b/oleanderwood/pools/blame.py
@@ -1,4 +1,4 @@
-"""Which of its tasks a worker's crash is put down to. Pure."""
+"""Decides which tasks are blamed for the crash of their worker. Pure."""
 
 import collections.abc
 
@@ -7,22 +7,24 @@
 from oleanderwood.jobs import ledger as ledgers
 from oleanderwood.pools import workers as workers_
 
-TOGETHER_S = 0.1
-TOGETHER = 3
-"""So many workers that go within so much time of each other have a cause of
-their own: a rack, a switch, a site's power."""
+COMMON_CAUSE_WINDOW_S = 0.1
+COMMON_CAUSE_WORKERS = 3
+"""When this many workers go down within this time of each other, the cause is
+a common one: a rack, a switch or a site's power."""
 
 
 def is_common(
     gone_s: float, others_s: collections.abc.Iterable[float]
 ) -> bool:
-    """Say whether a worker went together with others.
+    """Return whether a worker went down together with others.
 
-    :param gone_s: when it went
-    :param others_s: when all others did that did lately
+    :param gone_s: when it went down
+    :param others_s: when all others that went down recently did
     """
-    together = sum(abs(at_s - gone_s) <= TOGETHER_S for at_s in others_s)
-    return together + 1 >= TOGETHER
+    together = sum(
+        abs(at_s - gone_s) <= COMMON_CAUSE_WINDOW_S for at_s in others_s
+    )
+    return together + 1 >= COMMON_CAUSE_WORKERS
 
 
 def put_down(
@@ -31,23 +33,28 @@
     common: bool,
     now_s: float,
 ) -> list[ledgers.Task]:
-    """Put the crash of a worker down to tasks; gives those suspected by now.
+    """Attribute the crash of a worker to tasks; return those now suspected.
 
-    To the one that was on probation there and, beside what was started not
-    long before, to nothing else; otherwise to all that hasn't proven itself.
+    If a task was on probation there, it is blamed, together with tasks started
+    shortly before the crash. Otherwise all tasks that have not run long enough
+    to be cleared are blamed.
 
-    :param common: the worker went together with others: how young a run was
-        proves nothing then
+    :param common: the worker went down together with others, so the age of a
+        run proves nothing
     """
-    losses = [row for row in losses if not workers_.serves(row.task, now_s)]
-    accused = [row for row in losses if isolation.is_on_probation(row.task)]
+    losses = [
+        row for row in losses if not workers_.is_established(row.task, now_s)
+    ]
+    on_probation = [
+        row for row in losses if isolation.is_on_probation(row.task)
+    ]
     unproven = [row for row in losses if not row.task.run.proven]
-    if accused:
-        others = [row for row in unproven if row not in accused]
+    if on_probation:
+        others = [row for row in unproven if row not in on_probation]
         unsettled = [row for row in others if not _is_settled(row)]
-        blamed = accused + unsettled
-        units = {_unit(row.task) for row in accused}
-        isolated = len(units) == 1 and not unsettled and not common
+        blamed = on_probation + unsettled
+        probation_units = {_blamed_unit(row.task) for row in on_probation}
+        isolated = len(probation_units) == 1 and not unsettled and not common
     else:
         blamed = unproven or losses
         isolated = False
@@ -66,7 +73,7 @@
 
 
 def is_settled(losses: list[workers_.Loss]) -> bool:
-    """Say whether nothing that a worker took along was started lately."""
+    """Return whether no run lost with a worker was started recently."""
     return all(_is_settled(row) for row in losses)
 
 
@@ -74,6 +81,6 @@
     return row.age_s is not None and row.age_s >= crashes_.SETTLED_S
 
 
-def _unit(task: ledgers.Task) -> ledgers.Group | str:
-    """Give what is to blame as one: a gang, or else a task."""
+def _blamed_unit(task: ledgers.Task) -> ledgers.Group | str:
+    """Return what is blamed as a unit: a gang, or else a task."""
     return task.group if task.group.step.gang else task.name
--- a/oleanderwood/pools/entries.py
+++ b/oleanderwood/pools/entries.py
@@ -1,6 +1,6 @@
-"""Workers' entries that can't be used: why, and what is remembered of them.
+"""Unusable entries of workers: why they are refused, and what is remembered.
 
-Pure. Other writers may write beside the workers' own entries, or over them.
+Pure. Other writers may write next to the workers' own entries, or over them.
 """
 
 import collections.abc
@@ -20,32 +20,32 @@
 at the design size. Further ones are counted but not logged."""
 
 MOST_WAITING = 4000
-"""Entries that wait for their service to be named, four times the workers of
-the design size; the one that has waited longest goes first."""
+"""Entries that are held until a configuration names their service: four times
+the number of workers at the design size. The oldest one is evicted first."""
 
 
 class Fault(enum.Enum):
     """What is wrong with an entry."""
 
     KEY = 'key'
-    """Its key can't be the id of a worker."""
+    """Its key is not a valid worker id."""
 
     MALFORMED = 'malformed'
-    """Its bytes can't be read, a field is missing or of another type."""
+    """It cannot be decoded, or a field is missing or has another type."""
 
     TOO_LONG = 'too-long'
     STATE = 'state'
     ADDRESS = 'address'
     CAPACITY = 'capacity'
     SERVICE = 'service'
-    """No configuration names its service so far."""
+    """No configuration names its service yet."""
 
     CONTRADICTS = 'contradicts'
-    """It names another place than the worker that is known by this id."""
+    """It names another place than the known worker of the same id."""
 
 
 class BadEntry(errors.OleanderError):
-    """An entry that names no worker to use.
+    """Raised for an entry that describes no usable worker.
 
     :ivar reason: a short sentence for the log
     """
@@ -58,10 +58,10 @@
 
 @dataclasses.dataclass
 class Book:
-    """What a leader remembers of entries that it doesn't use.
+    """A leader's record of the entries that it does not use.
 
     :ivar refused: the last reason, by executor
-    :ivar waiting: sound entries whose service isn't named yet
+    :ivar waiting: valid entries whose service is not named yet
     """
 
     refused: dict[ids.ExecutorId, str] = dataclasses.field(
@@ -73,9 +73,9 @@
 
 
 def note_refusal(book: Book, name: ids.ExecutorId, reason: str) -> bool:
-    """Note a refusal; says whether it is to be logged.
+    """Record a refusal; return whether it is to be logged.
 
-    An entry that is written again and again is logged when its reason
+    An entry that is written repeatedly is logged again only when its reason
     changes.
     """
     if book.refused.get(name) == reason:
@@ -87,13 +87,13 @@
 
 
 def forget(book: Book, name: ids.ExecutorId) -> None:
-    """Forget an entry that is gone, or good again."""
+    """Forget an entry that was removed or has become valid."""
     book.refused.pop(name, None)
     book.waiting.pop(name, None)
 
 
 def wait(book: Book, entry: reports.Entry) -> None:
-    """Keep an entry until its service is named."""
+    """Hold an entry until its service is named."""
     name = lives.executor(entry.worker)
     book.waiting.pop(name, None)
     book.waiting[name] = entry
@@ -104,13 +104,13 @@
 def keep_only(
     book: Book, listed: collections.abc.Collection[ids.ExecutorId]
 ) -> None:
-    """Forget all entries but those that a whole reading has."""
+    """Forget all entries that a complete listing does not contain."""
     for name in {*book.refused, *book.waiting} - set(listed):
         forget(book, name)
 
 
 def same_place(entry: reports.Entry, other: reports.Entry) -> bool:
-    """Say whether two entries may be of one life of a worker."""
+    """Return whether two entries may belong to one incarnation of a worker."""
     return (entry.service, entry.address, entry.machine) == (
         other.service,
         other.address,
--- a/oleanderwood/pools/fences.py
+++ b/oleanderwood/pools/fences.py
@@ -1,13 +1,14 @@
-"""Fences: the number in each order below which an executor does nothing. Pure.
+"""Fences: the number in each order below which an executor refuses it. Pure.
 
-The term tells a former leader's orders from ours. Our own orders are told from
-each other by a number that rises within the term: one that was left unanswered
-may be carried out seconds later, by the executor's next life too, and is
-refused there once that has answered a call with a higher number.
+The term distinguishes the orders of a previous leader from those of this one.
+Orders of one term are distinguished by a number that rises within the term: an
+order that was left unanswered may be carried out seconds later, also by the
+executor's next incarnation, and is refused there once that has answered a call
+with a higher number.
 
-A term stands for the fences above those of the term that it follows, its own
-the last of them. So a leader that counts terms one by one, as those of earlier
-releases do, follows one that doesn't, and the other way round.
+A term owns the fences above those of the previous term, up to its own number.
+A leader of an earlier release, which counts terms one by one, can therefore
+follow a leader that does not, and the other way round.
 """
 
 import dataclasses
@@ -18,19 +19,20 @@
 """Numbers in a term. A term that has used them up for one executor ends."""
 
 RESERVED = 16
-"""Numbers that are left for the calls of a term that is about to end."""
+"""Numbers that are reserved for the calls of a term that is about to end."""
 
 KEPT_S = 60.0
-"""Time for which an executor that is gone keeps its number. Calls are carried
-out seconds late, and an executor may be met again under its id."""
+"""Time in seconds for which the number of an executor that is gone is kept.
+Calls may be carried out seconds late, and an executor may return under its
+id."""
 
 
 @dataclasses.dataclass
 class Fences:
-    """The fences that one term gives.
+    """The fences that one term has issued.
 
-    :ivar numbers: the last number that each executor was given
-    :ivar gone_s: when executors that are gone were forgotten
+    :ivar numbers: the last number issued, by executor
+    :ivar gone_s: when each executor that is gone was forgotten
     """
 
     term: int
@@ -43,27 +45,27 @@
 
 
 def next_term(term: int) -> int:
-    """Give the term that follows another."""
+    """Return the term that follows another."""
     return term + NUMBERS
 
 
 def make(term: int, number: int) -> ids.Fence:
-    """Make a fence of a term and a number in it, from 1 on."""
+    """Return the fence of a number in a term; numbers begin at 1."""
     return ids.Fence(term - NUMBERS + number)
 
 
 def number(fences: Fences, executor: ids.ExecutorId) -> int:
-    """Give the number of the next order to an executor."""
+    """Return the number of the next order to an executor."""
     return fences.numbers.setdefault(executor, 1)
 
 
 def current(fences: Fences, executor: ids.ExecutorId) -> ids.Fence:
-    """Give the fence of the next order to an executor."""
+    """Return the fence of the next order to an executor."""
     return make(fences.term, number(fences, executor))
 
 
 def raise_fence(fences: Fences, executor: ids.ExecutorId) -> None:
-    """Let an executor's next order have a higher fence than all before."""
+    """Raise the fence of an executor's next order above all earlier ones."""
     last = fences.numbers.get(executor, 0)
     fences.numbers[executor] = min(last + 1, NUMBERS)
     fences.gone_s.pop(executor, None)
@@ -72,21 +74,21 @@
 def is_overtaken(
     fences: Fences, executor: ids.ExecutorId, fence: ids.Fence
 ) -> bool:
-    """Say whether a higher fence than an order's was given to its executor.
+    """Return whether its executor was issued a higher fence than an order's.
 
-    Refused for its fence, such an order may be sent again: a later call of
-    ours came first.
+    If such an order is refused for its fence, it may be sent again: it was
+    overtaken by a later call of the same leader.
     """
     return fence < current(fences, executor)
 
 
 def are_used_up(fences: Fences, executor: ids.ExecutorId) -> bool:
-    """Say whether hardly any numbers are left for an executor."""
+    """Return whether almost no numbers are left for an executor."""
     return number(fences, executor) > NUMBERS - RESERVED
 
 
 def forget(fences: Fences, executor: ids.ExecutorId, now_s: float) -> None:
-    """Note that an executor is gone; its number is kept for a while."""
+    """Record that an executor is gone; its number is kept for a while."""
     fences.gone_s[executor] = now_s
     for other, gone_s in list(fences.gone_s.items()):
         if now_s - gone_s > KEPT_S:
--- a/oleanderwood/pools/held_back.py
+++ b/oleanderwood/pools/held_back.py
@@ -1,9 +1,9 @@
-"""Runs that use leftovers and get next to none. Pure.
+"""Finds runs that use leftover capacity and are starved of CPU. Pure.
 
-Load it answers: a pool has given its machines away, and on those that are left
-such runs are paced down beside tasks that serve, tasks that last have taken
-all processor time, or too many of them share it. Nothing there would free
-them.
+Designed for a pool that has given machines away. On the workers that are left,
+such runs are paced down next to latency-sensitive tasks, long-running tasks
+use all CPU, or too many runs share the leftover capacity. No other mechanism
+would move them.
 """
 
 import collections.abc
@@ -15,60 +15,61 @@
 from oleanderwood.pools import workers as workers_
 
 WINDOW_S = 5.0
-"""Time over which headway is measured. What serving tasks bear swings within
-seconds; a run that gets on by turns isn't held back."""
+"""Window in seconds over which progress is measured. The CPU that
+latency-sensitive tasks leave over changes within seconds, so a run that
+progresses intermittently does not count as starved."""
 
-LEAST_PART = 0.5
-"""Part of its full headway with which a run isn't held back. Guesses of
-lengths are off by up to a half upwards."""
+MIN_PROGRESS_PART = 0.5
+"""Part of its full rate of progress from which on a run does not count as
+starved. Expected durations may be too long by up to a half."""
 
-RESTART_S = 1.0
-"""Time that a stop and a start elsewhere take beside the work itself: 0.2 to
-0.4 s for the stop, up to a quarter for going on from saved work."""
+RESTART_COST_S = 1.0
+"""Time in seconds that a relocation takes in addition to the work: 0.2 to
+0.4 s for the stop, up to 0.25 s for resuming from a checkpoint."""
 
 
-MOST_RELOCATIONS = 3
-"""Times that a task is begun elsewhere. What it finds there may be taken in
-the meantime, and without saved work each one begins from nothing; after these
-it stays and gets on at the pace that it is given."""
+MAX_RELOCATIONS = 3
+"""Times that a task is relocated. The capacity found elsewhere may be taken by
+the time it gets there, and without checkpoints every relocation starts from
+the beginning. After these the task stays and runs at its worker's pace."""
 
 
 @dataclasses.dataclass(frozen=True)
 class HeldBack:
-    """A run that would end sooner elsewhere.
+    """A starved run that would end sooner on another worker.
 
-    :ivar left_s: how much longer it takes where it is
+    :ivar left_s: time it would still take on its current worker
     """
 
     task: ledgers.Task
     left_s: float
 
 
-LengthOf = collections.abc.Callable[[ledgers.Task], float]
-"""Gives how long a task should take, in seconds."""
+TaskLength = collections.abc.Callable[[ledgers.Task], float]
+"""Returns how long a task is expected to take, in seconds."""
 
 
 def measure(
-    worker: workers_.Worker, length_of: LengthOf, now_s: float
+    worker: workers_.Worker, length_of: TaskLength, now_s: float
 ) -> list[HeldBack]:
-    """Measure the headway of a worker's runs; gives those held back."""
-    tasks = [task for task in worker.runs.values() if _counts(task)]
-    tight = bool(tasks) and _is_tight(worker)
+    """Measure the progress of a worker's runs; return the starved ones."""
+    tasks = [task for task in worker.runs.values() if _is_measured(task)]
+    contended = bool(tasks) and _is_contended(worker)
     found = []
     for task in tasks:
         run = task.run
-        if not tight or run.looked_at_s is None:
+        if not contended or run.looked_at_s is None:
             run.held_left_s = None
-            _look(run, now_s)
+            _sample(run, now_s)
         elif now_s - run.looked_at_s >= WINDOW_S:
             run.held_left_s = _left_s(task, length_of(task), now_s)
-            _look(run, now_s)
+            _sample(run, now_s)
         if run.held_left_s is not None:
             found.append(HeldBack(task, run.held_left_s))
     return found
 
 
-def _counts(task: ledgers.Task) -> bool:
+def _is_measured(task: ledgers.Task) -> bool:
     run = task.run
     step = task.group.step
     return (
@@ -79,29 +80,29 @@
     )
 
 
-def _look(run: ledgers.Run, now_s: float) -> None:
+def _sample(run: ledgers.Run, now_s: float) -> None:
     run.looked_at_s = now_s
     run.looked_percent = run.percent
 
 
 def _left_s(task: ledgers.Task, length_s: float, now_s: float) -> float | None:
-    """Give how long a run still takes; None unless it's better elsewhere."""
+    """Return the time a run still takes; None unless relocation is faster."""
     run = task.run
     moved = run.percent - run.looked_percent
     rate = moved / (now_s - run.looked_at_s)
-    if rate * length_s >= 100 * LEAST_PART:
+    if rate * length_s >= 100 * MIN_PROGRESS_PART:
         return None
     rest = 100 - run.percent
     left_s = rest / rate if rate > 0 else float('inf')
-    anew_s = length_s * (rest / 100 if task.group.step.checkpoints else 1.0)
-    return left_s if left_s > anew_s + RESTART_S else None
+    restart_s = length_s * (rest / 100 if task.group.step.checkpoints else 1.0)
+    return left_s if left_s > restart_s + RESTART_COST_S else None
 
 
-def _is_tight(worker: workers_.Worker) -> bool:
-    """Say whether runs that use leftovers may get too little on a worker.
+def _is_contended(worker: workers_.Worker) -> bool:
+    """Return whether runs that use leftover capacity may be starved here.
 
-    Others go first there, or too many of them share what is left: sixteen on
-    one idle machine took 60 s for tasks of two.
+    Either latency-sensitive tasks go first, or too many runs share what is
+    left: sixteen on one idle machine took 60 s for tasks of 2 s.
     """
     left = worker.entry.capacity.cpu_millicores
     asked = 0
@@ -113,7 +114,7 @@
             asked += step.needs.cpu_millicores
         else:
             left -= step.needs.cpu_millicores
-    return left < LEAST_PART * asked
+    return left < MIN_PROGRESS_PART * asked
 
 
 def to_leave(
@@ -121,17 +122,17 @@
     others: list[workers_.Worker],
     now_s: float,
 ) -> list[ledgers.Task]:
-    """Choose the runs for which there is room where nothing serves.
+    """Return the runs to relocate to workers without latency-sensitive tasks.
 
-    Steps that need advice have it by now. A gang's members leave together or
-    not at all.
+    Steps that need advice already have it. The members of a gang are relocated
+    together or not at all.
 
     :param others: the other workers of their pool
     """
     free = [
-        room
-        for room in placing.rooms(others, now_s)
-        if not room.serving and not room.suspect
+        candidate
+        for candidate in placing.rooms(others, now_s)
+        if not candidate.has_latency_tasks and not candidate.suspect
     ]
     leaving: list[ledgers.Task] = []
     seen: set[ids.TaskId] = set()
@@ -142,20 +143,27 @@
         if row.task.group.step.gang:
             tasks = [task for task in row.task.group.tasks if not task.done]
         seen.update(task.name for task in tasks)
-        if any(task.relocated >= MOST_RELOCATIONS for task in tasks):
+        if any(task.relocated >= MAX_RELOCATIONS for task in tasks):
             continue
-        if _place(row.task.group, tasks, free):
+        if _reserve(row.task.group, tasks, free):
             leaving += tasks
     return leaving
 
 
-def _place(
+def _reserve(
     group: ledgers.Group, tasks: list[ledgers.Task], free: list[placing.Room]
 ) -> bool:
-    """Take room for some tasks of a step; says whether there was any.
+    """Reserve capacity for some tasks of a step; return whether they fit.
 
-    A gang that stays in one rack takes longer elsewhere than it is held back.
+    A gang that should stay in one rack is only relocated within a single rack:
+    spread over several, it would run slower than it does starved.
     """
-    roomy = [room for room in free if room.cpu_millicores > room.filling]
-    choices = placing.racks_for(group, roomy) or [roomy]
+    with_leftover = [
+        candidate
+        for candidate in free
+        if candidate.cpu_millicores > candidate.leftover_demand_millicores
+    ]
+    choices = placing.candidates_by_rack(group, with_leftover) or [
+        with_leftover
+    ]
     return any(placing.place_all(group, tasks, choice) for choice in choices)
--- a/oleanderwood/pools/late_orders.py
+++ b/oleanderwood/pools/late_orders.py
@@ -1,8 +1,8 @@
-"""Executors at which an order without an answer may be carried out late. Pure.
+"""Executors on which an unanswered order may be carried out late. Pure.
 
-One that starts again under its id has seen no fence, so the first call that
-reaches its next life decides. While an order may be out, it is to be asked
-again and again, with a fence above that of the order.
+An executor that restarts under its id has seen no fence, so the first call
+that reaches its next incarnation sets it. While an order may be in flight, the
+executor has to be called repeatedly, with a fence above that of the order.
 """
 
 import dataclasses
@@ -11,32 +11,32 @@
 
 from oleanderwood import ids
 
-LATE_S = 15.0
-"""Time for which an order without an answer may be carried out."""
+MAX_DELAY_S = 15.0
+"""Time in seconds for which an unanswered order may still be carried out."""
 
-MOST = 16
-"""Executors that one server asks so, those with the latest orders."""
+MAX_EXECUTORS = 16
+"""Executors that one server calls this way: those with the latest orders."""
 
 
 class LateOrder(msgspec.Struct, frozen=True):
-    """An executor at which an order may be carried out late.
+    """An executor on which an order may be carried out late.
 
     :ivar fence: above that of the order, and not above its leader's
-    :ivar for_s: how much longer it may be
+    :ivar for_s: for how much longer that may happen
     """
 
     executor: ids.ExecutorId
     address: ids.Address
     fence: ids.Fence
-    for_s: float = LATE_S
+    for_s: float = MAX_DELAY_S
 
 
 @dataclasses.dataclass
 class Book:
-    """The executors that one server asks.
+    """The executors that one server calls.
 
-    :ivar until_s: by when no order arrives late any more
-    :ivar untold: those that other servers weren't told of yet
+    :ivar until_s: time from which on the order cannot arrive any more
+    :ivar untold: those that other servers have not been notified of yet
     """
 
     orders: dict[ids.ExecutorId, LateOrder] = dataclasses.field(
@@ -51,25 +51,25 @@
 
 
 def take(book: Book, order: LateOrder, now_s: float) -> None:
-    """Take in that an executor is to be asked; the highest fence counts."""
+    """Record that an executor has to be called; the highest fence is kept."""
     name = order.executor
     known = book.orders.get(name)
     if known is None or order.fence >= known.fence:
         book.orders[name] = order
-    until_s = now_s + min(order.for_s, LATE_S)
+    until_s = now_s + min(order.for_s, MAX_DELAY_S)
     book.until_s[name] = max(until_s, book.until_s.get(name, 0.0))
-    if len(book.orders) > MOST:
+    if len(book.orders) > MAX_EXECUTORS:
         drop(book, min(book.until_s, key=book.until_s.__getitem__))
 
 
 def drop(book: Book, executor: ids.ExecutorId) -> None:
-    """Ask an executor no more."""
+    """Stop calling an executor."""
     book.orders.pop(executor, None)
     book.until_s.pop(executor, None)
 
 
 def due(book: Book, now_s: float) -> list[LateOrder]:
-    """Give whom to ask now."""
+    """Return the executors to call now."""
     for executor, until_s in list(book.until_s.items()):
         if now_s >= until_s:
             drop(book, executor)
@@ -77,7 +77,7 @@
 
 
 def take_untold(book: Book) -> list[LateOrder]:
-    """Give what other servers are to be told, once."""
+    """Remove and return the orders not yet sent to other servers."""
     orders = list(book.untold.values())
     book.untold.clear()
     return orders
--- a/oleanderwood/pools/lengths.py
+++ b/oleanderwood/pools/lengths.py
@@ -1,10 +1,10 @@
-"""How long tasks really take, against what callers guess. Pure.
+"""Learns how long tasks take, compared with their callers' estimates.
 
-Load it answers: guesses are off by up to nine tenths either way. Real times
-of one queue differ far less than its guesses, so a guess that stands out is
-mostly wrong: of small jobs a guess twice as long meant a time longer by a
-seventh (slope 0.2 of the logarithms, correlation 0.45), of large ones by a
-third (0.45, 0.65), measured on 6,500 steps.
+Estimates are off by up to 90% either way. Actual durations of one queue differ
+far less than its estimates, so an estimate far from the mean is mostly wrong.
+On 6,500 steps, an estimate twice as long meant a duration longer by a seventh
+for small jobs (slope 0.2 of the logarithms, correlation 0.45), and by a third
+for large ones (0.45, 0.65).
 """
 
 import collections.abc
@@ -13,110 +13,120 @@
 
 from oleanderwood.jobs import ledger as ledgers
 
-LEARNING = 0.05
-"""Weight of one task in the means: the last 20 or so count."""
+LEARNING_RATE = 0.05
+"""Weight of one task in the moving means: about the last 20 tasks count."""
 
-LEAST = 0.2
-MOST = 5.0
-"""Bounds of the factor; beyond them a guess isn't one."""
+MIN_FACTOR = 0.2
+MAX_FACTOR = 5.0
+"""Bounds of the correction factor; estimates beyond them are not credible."""
 
 REMEMBERED_TASKS = 400.0
-"""Tasks that a line is fitted to: some 60 steps, since the tasks of one step
-are alike."""
+"""Tasks that the regression is fitted to: some 60 steps, since the tasks of
+one step are alike."""
 
-LEAST_TASKS = 8.0
-"""Fewer tasks than this tell nothing; guesses are then taken as they are."""
+MIN_TASKS = 8.0
+"""Below this number of tasks, estimates are used uncorrected."""
 
 PRIOR_TASKS = 20.0
 PRIOR_VARIANCE = 0.5
 PRIOR_SLOPE = 0.4
-"""What a line is taken to be before it is learned: it counts as so many
-tasks, of guesses that differ as users' do."""
+"""Prior of the regression, counted as this many tasks with this variance of
+their estimates, which is that of users' estimates."""
 
-SHORTEST_S = 0.001
-"""Shorter times count as this; they have no logarithm."""
+MIN_LENGTH_S = 0.001
+"""Shorter durations are raised to this, since zero has no logarithm."""
 
 REFIT_TASKS = 50
-"""Tasks after which what is expected of known jobs is worked out anew."""
+"""Tasks after which the expected durations of known jobs are recomputed."""
 
 
 @dataclasses.dataclass
-class Means:
-    """Of one queue's tasks, what was guessed and what they took.
+class QueueStats:
+    """Estimated and actual durations of the tasks of one queue.
 
-    The sums are of logarithms, and fade.
+    Sums are of logarithms and decay exponentially.
     """
 
-    guess_s: float
-    real_s: float
+    mean_estimate_s: float
+    mean_length_s: float
     weight: float = 0.0
-    guesses: float = 0.0
-    reals: float = 0.0
-    guesses_squared: float = 0.0
-    products: float = 0.0
+    log_estimates: float = 0.0
+    log_lengths: float = 0.0
+    log_estimates_squared: float = 0.0
+    log_products: float = 0.0
 
 
 @dataclasses.dataclass
 class Lengths:
-    """What is known, by queue.
+    """Duration statistics by queue.
 
-    :ivar tasks: how many were noted
+    :ivar tasks: number of tasks recorded
     """
 
-    means: dict[str, Means] = dataclasses.field(default_factory=dict)
+    queues: dict[str, QueueStats] = dataclasses.field(default_factory=dict)
     tasks: int = 0
 
 
 def note(lengths: Lengths, group: ledgers.Group, length_s: float) -> None:
-    """Note how long a task of a step took."""
-    guess_s = group.step.guess_ms / 1000
-    if guess_s <= 0:
+    """Record how long a task of a step took."""
+    estimate_s = group.step.guess_ms / 1000
+    if estimate_s <= 0:
         return
     name = group.entry.job.queue.name
-    means = lengths.means.setdefault(name, Means(guess_s, guess_s))
-    means.guess_s += LEARNING * (guess_s - means.guess_s)
-    means.real_s += LEARNING * (length_s - means.real_s)
-    _fit(means, guess_s, length_s)
+    stats = lengths.queues.setdefault(name, QueueStats(estimate_s, estimate_s))
+    stats.mean_estimate_s += LEARNING_RATE * (
+        estimate_s - stats.mean_estimate_s
+    )
+    stats.mean_length_s += LEARNING_RATE * (length_s - stats.mean_length_s)
+    _fit(stats, estimate_s, length_s)
     lengths.tasks += 1
 
 
-def _fit(means: Means, guess_s: float, length_s: float) -> None:
-    """Take a task into the sums that the line is fitted to."""
-    kept = 1.0 - 1.0 / REMEMBERED_TASKS
-    guess = math.log(max(SHORTEST_S, guess_s))
-    real = math.log(max(SHORTEST_S, length_s))
-    means.weight = kept * means.weight + 1.0
-    means.guesses = kept * means.guesses + guess
-    means.reals = kept * means.reals + real
-    means.guesses_squared = kept * means.guesses_squared + guess * guess
-    means.products = kept * means.products + guess * real
+def _fit(stats: QueueStats, estimate_s: float, length_s: float) -> None:
+    """Add a task to the sums that the regression is fitted to."""
+    decay = 1.0 - 1.0 / REMEMBERED_TASKS
+    log_estimate = math.log(max(MIN_LENGTH_S, estimate_s))
+    log_length = math.log(max(MIN_LENGTH_S, length_s))
+    stats.weight = decay * stats.weight + 1.0
+    stats.log_estimates = decay * stats.log_estimates + log_estimate
+    stats.log_lengths = decay * stats.log_lengths + log_length
+    stats.log_estimates_squared = (
+        decay * stats.log_estimates_squared + log_estimate * log_estimate
+    )
+    stats.log_products = decay * stats.log_products + log_estimate * log_length
 
 
 def factor(lengths: Lengths, queue: str) -> float:
-    """Give by what to multiply a queue's guesses."""
-    means = lengths.means.get(queue)
-    if means is None:
+    """Return the factor by which to multiply a queue's estimates."""
+    stats = lengths.queues.get(queue)
+    if stats is None:
         return 1.0
-    return min(MOST, max(LEAST, means.real_s / means.guess_s))
-
-
-def expected_s(lengths: Lengths, queue: str, guess_s: float) -> float:
-    """Give how long a task takes whose caller guesses a time."""
-    means = lengths.means.get(queue)
-    if means is None or means.weight < LEAST_TASKS or guess_s <= 0:
-        return guess_s
-    guess = means.guesses / means.weight
-    real = means.reals / means.weight
-    stands_out = math.log(max(SHORTEST_S, guess_s)) - guess
-    return math.exp(real + _slope(means) * stands_out)
-
-
-def _slope(means: Means) -> float:
-    """Give by how much real times follow guesses, both as logarithms."""
-    guess = means.guesses / means.weight
-    real = means.reals / means.weight
-    variance = means.guesses_squared - means.weight * guess * guess
-    covariance = means.products - means.weight * guess * real
+    return min(
+        MAX_FACTOR,
+        max(MIN_FACTOR, stats.mean_length_s / stats.mean_estimate_s),
+    )
+
+
+def expected_s(lengths: Lengths, queue: str, estimate_s: float) -> float:
+    """Return the expected duration of a task with the given estimate."""
+    stats = lengths.queues.get(queue)
+    if stats is None or stats.weight < MIN_TASKS or estimate_s <= 0:
+        return estimate_s
+    log_estimate = stats.log_estimates / stats.weight
+    log_length = stats.log_lengths / stats.weight
+    log_deviation = math.log(max(MIN_LENGTH_S, estimate_s)) - log_estimate
+    return math.exp(log_length + _slope(stats) * log_deviation)
+
+
+def _slope(stats: QueueStats) -> float:
+    """Return the slope of log duration over log estimate, between 0 and 1."""
+    log_estimate = stats.log_estimates / stats.weight
+    log_length = stats.log_lengths / stats.weight
+    variance = (
+        stats.log_estimates_squared
+        - stats.weight * log_estimate * log_estimate
+    )
+    covariance = stats.log_products - stats.weight * log_estimate * log_length
     prior = PRIOR_TASKS * PRIOR_VARIANCE
     slope = (covariance + prior * PRIOR_SLOPE) / (variance + prior)
     return min(1.0, max(0.0, slope))
@@ -125,7 +135,7 @@
 def of_job(
     lengths: Lengths, entry: ledgers.Entry
 ) -> collections.abc.Sequence[float]:
-    """Give how long a task of each of a job's steps takes, in seconds."""
+    """Return the expected duration of a task of each step, in seconds."""
     version = lengths.tasks // REFIT_TASKS
     if entry.expected_version != version:
         queue = entry.job.queue.name
--- a/oleanderwood/pools/lives.py
+++ b/oleanderwood/pools/lives.py
@@ -1,35 +1,35 @@
-"""Lives of executors: an executor may start again under its id. Pure.
-
-A life holds and knows nothing of the one before. Its name is the executor's id
-and, where the executor tells, when it was born; what is remembered of an
-executor is remembered under that name, so of one life. Which of two lives is
-the later one isn't told by when they were born: that is a time of day, which
-may jump. It is told by calls: one that was sent after an answer of the one
-life had come, and is answered by the other.
+"""Incarnations of executors: an executor may restart under its id. Pure.
+
+An incarnation holds and knows nothing of the previous one. Its name is the
+executor's id and, if the executor reports it, its birth time; all state of an
+executor is stored under that name, and so belongs to one incarnation. Birth
+times do not tell which of two incarnations is the later one, since they are
+wall-clock times, which may jump. Calls do: a call that was sent after an
+answer of one incarnation had arrived, and is answered by the other.
 """
 
 from oleanderwood import ids
 
-_MARK = '/'
-"""Stands between id and birth; no id has one, as ids are parts of keys."""
+_SEPARATOR = '/'
+"""Separates id and birth time; no id contains it, as ids are parts of keys."""
 
 
 def life(executor: ids.ExecutorId, born: int | None) -> ids.VmId:
-    """Name a life.
+    """Return the name of an incarnation.
 
-    :param born: its birth, in milliseconds since 1970; None if it isn't told:
-        the executor is known by its id alone
+    :param born: its birth time in milliseconds since 1970; None if it is not
+        reported: the executor is known by its id alone
     """
     if born is None:
         return ids.VmId(executor)
-    return ids.VmId(f'{executor}{_MARK}{born}')
+    return ids.VmId(f'{executor}{_SEPARATOR}{born}')
 
 
 def tells_birth(life: ids.VmId) -> bool:
-    """Say whether a life's executor tells births, and so may keep its id."""
-    return _MARK in life
+    """Return whether the executor reports births, and so may keep its id."""
+    return _SEPARATOR in life
 
 
 def executor(life: ids.VmId) -> ids.ExecutorId:
-    """Give the id of the executor whose life it is."""
-    return ids.ExecutorId(life.partition(_MARK)[0])
+    """Return the id of an incarnation's executor."""
+    return ids.ExecutorId(life.partition(_SEPARATOR)[0])
--- a/oleanderwood/pools/pacing.py
+++ b/oleanderwood/pools/pacing.py
@@ -1,9 +1,9 @@
-"""How fast tasks that use leftovers may work beside tasks that serve. Pure.
+"""Sets the pace of leftover tasks next to latency-sensitive tasks. Pure.
 
-Load it answers: on one worker, tasks that take what others leave slow the
-serving ones down, by amounts that change within seconds. They are held back
-before a serving task is over its target: a renewal is up to a second old,
-and harm is told after some seconds on end.
+Designed for workers where tasks that use leftover capacity slow down the
+latency-sensitive ones by amounts that change within seconds. The pace is
+reduced before a latency target is exceeded: a measurement is up to a second
+old, and the platform reports harm after several seconds above the target.
 """
 
 import dataclasses
@@ -11,22 +11,22 @@
 from oleanderwood.jobs import ledger as ledgers
 from oleanderwood.pools import workers as workers_
 
-HOLD_BACK_AT = 0.8
-"""Part of its target at which a serving task's latency halves the pace."""
+REDUCE_AT = 0.8
+"""Part of the latency target at which the pace is halved."""
 
 STOP_AT = 0.95
-"""Part of the target at which the others stop working altogether."""
+"""Part of the latency target at which leftover tasks are stopped."""
 
 RELEASE_AT = 0.55
-"""Part of the target below which the pace is raised in whole steps."""
+"""Part of the latency target below which the pace is raised by one step."""
 
 RAISE_PERCENT = 20
-"""Step by which the pace is raised; from nothing to all in five renewals."""
+"""Step by which the pace is raised: from 0 to 100 in five renewals."""
 
-LEAST_PERCENT = 10
-"""Paces below this are nothing: they harm and don't get on. What stands still
-is let on at this pace below ``HOLD_BACK_AT``: its share in the latency is
-none, so that nothing else would ever raise it."""
+MIN_PERCENT = 10
+"""Lower paces are set to 0: they do harm and make no progress. Below
+``REDUCE_AT`` a stopped task is resumed at this pace. It does not contribute to
+the latency while stopped, so nothing else would ever raise its pace."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -38,38 +38,40 @@
 
 
 def decide(worker: workers_.Worker) -> list[Pace]:
-    """Give new paces for the tasks of a worker that use leftovers."""
-    strain = _strain(worker)
+    """Return the new paces of a worker's tasks that use leftover capacity."""
+    latency_ratio = _latency_ratio(worker)
     paces = []
     for task in worker.runs.values():
         run = task.run
         if run is None or not task.group.step.uses_leftover:
             continue
         percent = 100
-        if strain is not None:
-            known = run.pace_percent
-            percent = _next(100 if known is None else known, strain)
+        if latency_ratio is not None:
+            current = run.pace_percent
+            percent = _next_percent(
+                100 if current is None else current, latency_ratio
+            )
         if percent != run.pace_percent:
             paces.append(Pace(task, percent))
     return paces
 
 
-def _strain(worker: workers_.Worker) -> float | None:
-    """Give the worst latency against its target; None if nothing serves."""
-    strains = [
+def _latency_ratio(worker: workers_.Worker) -> float | None:
+    """Return the highest ratio of latency to target; None without targets."""
+    ratios = [
         task.run.latency_or_cpu / task.group.step.latency_target_ms
         for task in worker.runs.values()
         if task.run is not None and task.group.step.latency_target_ms > 0
     ]
-    return max(strains, default=None)
+    return max(ratios, default=None)
 
 
-def _next(percent: int, strain: float) -> int:
-    if strain >= STOP_AT:
+def _next_percent(percent: int, latency_ratio: float) -> int:
+    if latency_ratio >= STOP_AT:
         return 0
-    if strain >= HOLD_BACK_AT:
-        half = percent // 2
-        return half if half >= LEAST_PERCENT else 0
-    if strain <= RELEASE_AT:
+    if latency_ratio >= REDUCE_AT:
+        halved = percent // 2
+        return halved if halved >= MIN_PERCENT else 0
+    if latency_ratio <= RELEASE_AT:
         return min(100, percent + RAISE_PERCENT)
-    return max(percent, LEAST_PERCENT)
+    return max(percent, MIN_PERCENT)
--- a/oleanderwood/pools/placing.py
+++ b/oleanderwood/pools/placing.py
@@ -1,7 +1,7 @@
-"""Which waiting task starts on which worker. Pure.
+"""Decides which waiting task starts on which worker. Pure.
 
-Load it answers: each queue asks by turns for five times its mean, more than
-its pool holds, and nearly nothing in between.
+Designed for bursts: each queue alternately submits five times its mean load,
+more than its pool can hold, and almost nothing in between.
 """
 
 import collections.abc
@@ -21,32 +21,34 @@
 
 InTurn = collections.abc.Callable[[list[ledgers.Group]], list[ledgers.Group]]
 
-LASTING_TOGETHER = 3
-"""Long-running tasks of one step that are put on one worker. More on one
-free whole machines for other pools; fewer make maintenance quicker, which
-has to take them away one by one."""
+MAX_LONG_RUNNING_PER_WORKER = 3
+"""Long-running tasks of one step that are packed onto one worker. Packing more
+frees whole machines for other pools; packing fewer speeds up maintenance,
+which has to move them off the machine one at a time."""
 
 LATE_FACTOR = 3.0
-"""A job is worth something up to this many times its objective."""
+"""A job is still useful to its caller up to this multiple of its objective."""
 
 
 LATENESS_MARGIN = 1.25
-"""A job counts as late once its next step would have to take this many times
-less than expected: begun at the edge, every second one ends late."""
+"""A job counts as late once the time left for its next step is less than this
+multiple of the step's expected duration. Without a margin, every second job
+that is started at the last moment ends late."""
 
 
-SET_APART_PART = 2
-"""Not more than one in so many workers of a pool is kept for tasks that are
-suspected of crashing theirs, one at least."""
+RESERVED_WORKERS_DIVISOR = 2
+"""At most one in this many workers of a pool, but at least one, is reserved
+for tasks that are suspected of crashing their worker."""
 
-PARTED_S = 0.4
-"""Time after which the rest of a gang is stopped that lacks a member. What
-was whole breaks by itself, and is told of within this time."""
+INCOMPLETE_GANG_S = 0.4
+"""Time in seconds after which the running members of a gang that lacks a
+member are stopped. A gang that was complete fails on its own, and the workers
+report that within this time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """One start that was decided."""
+    """A decision to start one task on one worker."""
 
     task: ledgers.Task
     worker: workers_.Worker
@@ -54,13 +56,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Room:
-    """What is free on a worker while starts are decided.
-
-    :ivar filling: processor time that tasks which use leftovers ask for
-    :ivar mates: tasks there, by their step
-    :ivar refused: the least needs that there was lately no room for
-    :ivar apart: kept for a task that is suspected of crashing its worker
-    :ivar unsettled_s: time until nothing else there could crash it
+    """Free resources of a worker while starts are decided.
+
+    :ivar batch_count: tasks on the worker that are not long-running
+    :ivar has_latency_tasks: a task on the worker has a latency target
+    :ivar leftover_demand_millicores: CPU requested by the tasks that use
+        leftover capacity
+    :ivar task_counts: number of tasks on the worker, by step
+    :ivar rejected_needs: smallest request that the worker recently rejected
+        for lack of resources
+    :ivar reserved: reserved for a task suspected of crashing its worker
+    :ivar unsettled_s: time until every task on the worker has run long enough
+        not to be suspected of a crash
     """
 
     worker: workers_.Worker
@@ -69,121 +76,131 @@
     gpus: int
     rack: str
     suspect: bool
-    batch: int = 0
-    lasting: int = 0
-    serving: bool = False
-    filling: int = 0
-    refused: model.Resources | None = None
-    apart: bool = False
+    batch_count: int = 0
+    long_running_count: int = 0
+    has_latency_tasks: bool = False
+    leftover_demand_millicores: int = 0
+    rejected_needs: model.Resources | None = None
+    reserved: bool = False
     unsettled_s: float = 0.0
-    mates: dict[ledgers.Group, int] = dataclasses.field(default_factory=dict)
+    task_counts: dict[ledgers.Group, int] = dataclasses.field(
+        default_factory=dict
+    )
 
 
 def rooms(pool: list[workers_.Worker], now_s: float) -> list[Room]:
-    """Give the room of the workers that may be given tasks."""
+    """Return the free resources of the workers that accept tasks."""
     found = []
     for worker in pool:
         if not workers_.accepts(worker, now_s):
             continue
         capacity = worker.entry.capacity
-        room = Room(
+        candidate = Room(
             worker,
             capacity.cpu_millicores,
             capacity.memory_mb,
             capacity.gpus,
             reports.rack(worker.entry),
-            workers_.suspect(worker),
+            workers_.is_suspect(worker),
         )
-        room.refused = workers_.refused(worker, now_s)
+        candidate.rejected_needs = workers_.refused(worker, now_s)
         for task in worker.runs.values():
-            _take(room, task.group)
-            room.serving = (
-                room.serving or task.group.step.latency_target_ms > 0
+            _add_task(candidate, task.group)
+            candidate.has_latency_tasks = (
+                candidate.has_latency_tasks
+                or task.group.step.latency_target_ms > 0
             )
             if task.group.suspects and isolation.is_on_probation(task):
-                room.apart = True
+                candidate.reserved = True
         for group in worker.foreign:
-            _occupy(room, group)
-        found.append(room)
+            _subtract_needs(candidate, group)
+        found.append(candidate)
     return found
 
 
-def _note_unsettled(free: list[Room], now_s: float) -> None:
-    """Note for how long something on each worker could yet crash it."""
-    for room in free:
-        for task in room.worker.runs.values():
+def _record_unsettled(free: list[Room], now_s: float) -> None:
+    """Set how long a task on each worker could still crash it."""
+    for candidate in free:
+        for task in candidate.worker.runs.values():
             if not task.run.proven:
                 left_s = crashes_.SETTLED_S - (now_s - task.run.begun_s)
-                room.unsettled_s = max(room.unsettled_s, left_s)
+                candidate.unsettled_s = max(candidate.unsettled_s, left_s)
 
 
 def decide(
     groups: list[ledgers.Group],
     pool: list[workers_.Worker],
     now_s: float,
-    most: int,
+    max_starts: int,
     quotas: quotas_.Quotas | None = None,
 ) -> list[Placement]:
-    """Decide starts for the groups in their order.
+    """Decide which tasks to start, taking the groups in their order.
 
-    :param most: starts to decide at once
-    :param quotas: what is left to teams; it is drawn on
+    :param max_starts: most starts to decide at once
+    :param quotas: what teams and tenants may still start; it is charged
     """
     free = rooms(pool, now_s)
     if any(group.suspects for group in groups):
-        _note_unsettled(free, now_s)
+        _record_unsettled(free, now_s)
     quotas = quotas or quotas_.Quotas()
     unmet = Unmet()
     decided: list[Placement] = []
     for group in groups:
-        if not free or len(decided) >= most:
+        if not free or len(decided) >= max_starts:
             break
         if _is_unmet(unmet, group):
             continue
         if group.step.gang:
             decided += _place_gang(group, free, now_s, quotas)
         else:
-            left = most - len(decided)
+            left = max_starts - len(decided)
             decided += _place_tasks(group, free, now_s, left, quotas, unmet)
     return decided
 
 
 @dataclasses.dataclass
 class Unmet:
-    """What no worker of a pool has room for, while starts are decided.
+    """Requests that fit on no worker of a pool while starts are decided.
 
-    Room only shrinks meanwhile, so what needs as much needs no second look: in
-    a turn that a large pool can't hold, most steps wait.
+    Free capacity only shrinks during a pass, so a request that is at least as
+    large need not be checked again: in a burst larger than the pool, most
+    steps wait.
 
-    :ivar lasting: needs of a task that lasts, for which all workers do
-    :ivar passing: needs of other tasks
+    :ivar long_running_needs: requests of long-running tasks, which may start
+        on slow workers too
+    :ivar batch_needs: requests of other tasks
     """
 
-    lasting: list[model.Resources] = dataclasses.field(default_factory=list)
-    passing: list[model.Resources] = dataclasses.field(default_factory=list)
+    long_running_needs: list[model.Resources] = dataclasses.field(
+        default_factory=list
+    )
+    batch_needs: list[model.Resources] = dataclasses.field(
+        default_factory=list
+    )
 
 
-def _note_unmet(unmet: Unmet, group: ledgers.Group) -> None:
-    """Note that one more task of a group fits nowhere.
+def _record_unmet(unmet: Unmet, group: ledgers.Group) -> None:
+    """Record that no further task of a group fits on any worker.
 
-    What is bound to some workers says nothing of the others.
+    A step that is restricted to some workers implies nothing about the others
+    and is not recorded.
     """
     step = group.step
     bound = step.label or step.max_per_worker or group.tickets is not None
     if bound or step.uses_leftover:
         return
-    rows = unmet.lasting if step.lasting else unmet.passing
+    rows = unmet.long_running_needs if step.lasting else unmet.batch_needs
     rows.append(step.needs)
 
 
 def _is_unmet(unmet: Unmet, group: ledgers.Group) -> bool:
-    """Say whether it is known that no task of a group fits anywhere."""
+    """Return whether it is known that a group's tasks fit on no worker."""
     step = group.step
     if step.uses_leftover:
         return False
-    rows = unmet.lasting
+    rows = unmet.long_running_needs
     if not step.lasting:
-        rows = rows + unmet.passing
+        rows = rows + unmet.batch_needs
     return any(model.asks_as_much(step.needs, row) for row in rows)
 
 
@@ -191,163 +208,181 @@
     group: ledgers.Group,
     free: list[Room],
     now_s: float,
-    most: int,
+    max_starts: int,
     quotas: quotas_.Quotas,
     unmet: Unmet,
 ) -> list[Placement]:
     placed: list[Placement] = []
     for task in isolation.startable(group):
-        if len(placed) >= most or not quotas_.allows(quotas, group):
+        if len(placed) >= max_starts or not quotas_.allows(quotas, group):
             break
         if task.not_before_s > now_s:
             continue
-        best = _best(group, task, free)
+        best = _best_candidate(group, task, free)
         if best is None:
-            _note_unmet(unmet, group)
+            _record_unmet(unmet, group)
             break
-        if task.index in group.suspects and not _set_apart(best, free):
+        if task.index in group.suspects and not _reserve(best, free):
             break
-        _take(best, group)
+        _add_task(best, group)
         best.unsettled_s = crashes_.SETTLED_S
-        quotas_.take(quotas, group)
+        quotas_.charge(quotas, group)
         placed.append(Placement(task, best.worker))
     return placed
 
 
-def _set_apart(room: Room, free: list[Room]) -> bool:
-    """Keep a worker for a suspected task; says whether that may start now.
+def _reserve(candidate: Room, free: list[Room]) -> bool:
+    """Reserve a worker for a suspected task; return whether it may start now.
 
-    Until all that runs there has settled nothing else is started there.
+    Nothing else is started on the worker until its other tasks have run long
+    enough not to be suspected.
     """
-    kept = sum(other.apart for other in free)
-    if kept >= max(1, len(free) // SET_APART_PART):
+    reserved_count = sum(other.reserved for other in free)
+    if reserved_count >= max(1, len(free) // RESERVED_WORKERS_DIVISOR):
         return False
-    room.apart = True
-    return room.unsettled_s <= 0.0
+    candidate.reserved = True
+    return candidate.unsettled_s <= 0.0
 
 
-def _settled(
+def _reserve_for_gang(
     group: ledgers.Group, placed: list[Placement], free: list[Room]
 ) -> list[Placement]:
-    """Keep the workers of a suspected gang; gives none until they settle."""
+    """Reserve the workers of a suspected gang.
+
+    :return: the placements, or none until the workers' other tasks have run
+        long enough not to be suspected
+    """
     used = {id(row.worker) for row in placed}
-    rooms_ = [room for room in free if id(room.worker) in used]
-    for room in rooms_:
-        room.apart = True
-    if all(room.unsettled_s <= 0.0 for room in rooms_):
+    chosen = [candidate for candidate in free if id(candidate.worker) in used]
+    for candidate in chosen:
+        candidate.reserved = True
+    if all(candidate.unsettled_s <= 0.0 for candidate in chosen):
         return placed
-    by_worker = {id(room.worker): room for room in rooms_}
+    by_worker = {id(candidate.worker): candidate for candidate in chosen}
     for row in placed:
-        _give_back(by_worker[id(row.worker)], group)
+        _release(by_worker[id(row.worker)], group)
     return []
 
 
-def _best(
+def _best_candidate(
     group: ledgers.Group, task: ledgers.Task, free: list[Room]
 ) -> Room | None:
-    fitting = [room for room in free if fits(room, group)]
+    fitting = [candidate for candidate in free if fits(candidate, group)]
     if not fitting:
         return None
-    return min(fitting, key=lambda room: _preference(room, group, task))
+    return min(
+        fitting, key=lambda candidate: _preference(candidate, group, task)
+    )
 
 
-def _preference(room: Room, group: ledgers.Group, task: ledgers.Task):
-    """Order workers: sound ones first, near the data, then the fullest.
+def _preference(candidate: Room, group: ledgers.Group, task: ledgers.Task):
+    """Return a worker's sort key: healthy first, near the data, then fullest.
 
-    All are packed, so that whole workers stay free, which may move. Tasks
-    that last go where others last, but not all to one worker.
+    Workers are packed so that whole machines stay free to move to other
+    pools. Long-running tasks are placed together, but not all on one worker.
     """
     if group.suspects:
-        # A crash must have one explanation, and take little along.
-        return (room.suspect, room.unsettled_s, room.lasting, room.batch)
+        # Isolated, so that a crash has one explanation and costs few runs.
+        return (
+            candidate.suspect,
+            candidate.unsettled_s,
+            candidate.long_running_count,
+            candidate.batch_count,
+        )
     step = group.step
-    near = not step.near_rack or room.rack == step.near_rack
-    lasts = step.lasting
+    near = not step.near_rack or candidate.rack == step.near_rack
+    is_long_running = step.lasting
     return (
-        room.suspect,
-        room.worker.entry.worker == task.failed_on,
+        candidate.suspect,
+        candidate.worker.entry.worker == task.failed_on,
         not near,
-        lasts and room.worker.due,
-        lasts and room.mates.get(group, 0) >= LASTING_TOGETHER,
-        step.uses_leftover and room.serving,
-        lasts and not room.lasting,
-        _missing(room, group),
-        room.cpu_millicores,
+        is_long_running and candidate.worker.due,
+        is_long_running
+        and candidate.task_counts.get(group, 0) >= MAX_LONG_RUNNING_PER_WORKER,
+        step.uses_leftover and candidate.has_latency_tasks,
+        is_long_running and not candidate.long_running_count,
+        _leftover_shortfall(candidate, group),
+        candidate.cpu_millicores,
     )
 
 
-def _missing(room: Room, group: ledgers.Group) -> int:
-    """Give what tasks that use leftovers would lack with one more of them."""
+def _leftover_shortfall(candidate: Room, group: ledgers.Group) -> int:
+    """Return the CPU that leftover tasks would lack after adding one more."""
     if not group.step.uses_leftover:
         return 0
-    asked = room.filling + _filling(group)
-    return max(0, asked - room.cpu_millicores)
+    asked = candidate.leftover_demand_millicores + _leftover_demand(group)
+    return max(0, asked - candidate.cpu_millicores)
 
 
-def _filling(group: ledgers.Group) -> int:
+def _leftover_demand(group: ledgers.Group) -> int:
     step = group.step
     return step.needs.cpu_millicores if step.uses_leftover else 0
 
 
-def fits(room: Room, group: ledgers.Group) -> bool:
-    """Say whether one more task of a group may start on a worker."""
-    if room.apart:
+def fits(candidate: Room, group: ledgers.Group) -> bool:
+    """Return whether one more task of a group may start on a worker."""
+    if candidate.reserved:
         return False
     step = group.step
     needs = step.needs
-    if not step.uses_leftover and needs.cpu_millicores > room.cpu_millicores:
+    if (
+        not step.uses_leftover
+        and needs.cpu_millicores > candidate.cpu_millicores
+    ):
         return False
-    if needs.memory_mb > room.memory_mb or needs.gpus > room.gpus:
+    if needs.memory_mb > candidate.memory_mb or needs.gpus > candidate.gpus:
         return False
-    if room.refused is not None and model.asks_as_much(needs, room.refused):
+    if candidate.rejected_needs is not None and model.asks_as_much(
+        needs, candidate.rejected_needs
+    ):
         return False
     if group.tickets is not None:
-        if room.worker.entry.worker not in group.tickets:
+        if candidate.worker.entry.worker not in group.tickets:
             return False
-    if step.label and step.label not in room.worker.entry.labels:
+    if step.label and step.label not in candidate.worker.entry.labels:
         return False
-    most = step.max_per_worker
-    if most and room.mates.get(group, 0) >= most:
+    limit = step.max_per_worker
+    if limit and candidate.task_counts.get(group, 0) >= limit:
         return False
-    if room.worker.slow and not step.lasting:
+    if candidate.worker.slow and not step.lasting:
         return False
-    return not (room.suspect and room.batch > 0)
+    return not (candidate.suspect and candidate.batch_count > 0)
 
 
 def has_room(
     group: ledgers.Group, pool: list[workers_.Worker], now_s: float
 ) -> bool:
-    """Say whether one more task of a group may start on some worker."""
-    return any(fits(room, group) for room in rooms(pool, now_s))
+    """Return whether one more task of a group may start on some worker."""
+    return any(fits(candidate, group) for candidate in rooms(pool, now_s))
 
 
-def _take(room: Room, group: ledgers.Group) -> None:
-    _occupy(room, group)
-    room.filling += _filling(group)
-    room.batch += not group.step.lasting
-    room.lasting += group.step.lasting
+def _add_task(candidate: Room, group: ledgers.Group) -> None:
+    _subtract_needs(candidate, group)
+    candidate.leftover_demand_millicores += _leftover_demand(group)
+    candidate.batch_count += not group.step.lasting
+    candidate.long_running_count += group.step.lasting
 
 
-def _occupy(room: Room, group: ledgers.Group) -> None:
-    """Take room for a task that may not be one of ours."""
+def _subtract_needs(candidate: Room, group: ledgers.Group) -> None:
+    """Subtract the resources of a task, which may be an unmanaged run."""
     needs = group.step.needs
     if not group.step.uses_leftover:
-        room.cpu_millicores -= needs.cpu_millicores
-    room.memory_mb -= needs.memory_mb
-    room.gpus -= needs.gpus
-    room.mates[group] = room.mates.get(group, 0) + 1
+        candidate.cpu_millicores -= needs.cpu_millicores
+    candidate.memory_mb -= needs.memory_mb
+    candidate.gpus -= needs.gpus
+    candidate.task_counts[group] = candidate.task_counts.get(group, 0) + 1
 
 
-def _give_back(room: Room, group: ledgers.Group) -> None:
+def _release(candidate: Room, group: ledgers.Group) -> None:
     needs = group.step.needs
     if not group.step.uses_leftover:
-        room.cpu_millicores += needs.cpu_millicores
-    room.memory_mb += needs.memory_mb
-    room.gpus += needs.gpus
-    room.mates[group] -= 1
-    room.filling -= _filling(group)
-    room.batch -= not group.step.lasting
-    room.lasting -= group.step.lasting
+        candidate.cpu_millicores += needs.cpu_millicores
+    candidate.memory_mb += needs.memory_mb
+    candidate.gpus += needs.gpus
+    candidate.task_counts[group] -= 1
+    candidate.leftover_demand_millicores -= _leftover_demand(group)
+    candidate.batch_count -= not group.step.lasting
+    candidate.long_running_count -= group.step.lasting
 
 
 def _place_gang(
@@ -368,29 +403,41 @@
         return []
     quiet = free
     if group.step.uses_leftover:
-        # Beside tasks that serve, a gang that uses leftovers is held back.
-        quiet = [room for room in free if not room.serving]
-    choices = [*racks_for(group, quiet), *racks_for(group, free), quiet, free]
+        # Next to latency-sensitive tasks, such a gang would be starved.
+        quiet = [
+            candidate for candidate in free if not candidate.has_latency_tasks
+        ]
+    choices = [
+        *candidates_by_rack(group, quiet),
+        *candidates_by_rack(group, free),
+        quiet,
+        free,
+    ]
     for choice in choices:
         placed = place_all(group, members, choice)
         if placed and group.suspects:
-            placed = _settled(group, placed, free)
+            placed = _reserve_for_gang(group, placed, free)
         for row in placed:
-            quotas_.take(quotas, row.task.group)
+            quotas_.charge(quotas, row.task.group)
         if placed:
             return placed
     return []
 
 
-def racks_for(group: ledgers.Group, free: list[Room]) -> list[list[Room]]:
-    """Give the room of each rack for a gang that stays in one, best first."""
+def candidates_by_rack(
+    group: ledgers.Group, free: list[Room]
+) -> list[list[Room]]:
+    """Return the workers of each rack, preferred rack first.
+
+    Empty for a gang that need not stay in one rack.
+    """
     if not group.step.one_rack:
         return []
-    # As the workers come: of a set, the order differs from process to process.
-    racks = dict.fromkeys(room.rack for room in free)
+    # Ordered by worker: the order of a set differs between processes.
+    racks = dict.fromkeys(candidate.rack for candidate in free)
     near = group.step.near_rack
     return [
-        [room for room in free if room.rack == rack]
+        [candidate for candidate in free if candidate.rack == rack]
         for rack in sorted(racks, key=lambda name: name != near)
     ]
 
@@ -398,16 +445,20 @@
 def parted(
     groups: collections.abc.Iterable[ledgers.Group], now_s: float
 ) -> list[ledgers.Task]:
-    """Give the members of gangs that run while others don't.
+    """Return the running members of gangs that are incomplete.
 
-    They all start at once, so that such a gang can't become whole any more.
+    All members of a gang are started at once, so a gang that lacks a member
+    cannot become complete again.
     """
     found: list[ledgers.Task] = []
     for group in groups:
         if not group.step.gang or not group.waiting:
             continue
         waiting = group.waiting.values()
-        if now_s - max(task.away_since_s for task in waiting) >= PARTED_S:
+        if (
+            now_s - max(task.away_since_s for task in waiting)
+            >= INCOMPLETE_GANG_S
+        ):
             found += [task for task in group.tasks if task.run is not None]
     return found
 
@@ -415,16 +466,16 @@
 def place_all(
     group: ledgers.Group, members: list[ledgers.Task], free: list[Room]
 ) -> list[Placement]:
-    """Place all of some tasks, or none; their room is taken."""
+    """Place all of the given tasks or none, and subtract their resources."""
     taken: list[Room] = []
     placed: list[Placement] = []
     for task in members:
-        best = _best(group, task, free)
+        best = _best_candidate(group, task, free)
         if best is None:
-            for room in taken:
-                _give_back(room, group)
+            for candidate in taken:
+                _release(candidate, group)
             return []
-        _take(best, group)
+        _add_task(best, group)
         taken.append(best)
         placed.append(Placement(task, best.worker))
     return placed
@@ -433,18 +484,18 @@
 def could_place_all(
     group: ledgers.Group, members: list[ledgers.Task], free: list[Room]
 ) -> bool:
-    """Say whether all of some tasks could be placed; takes no room."""
+    """Return whether all of the given tasks fit; subtracts no resources."""
     placed = place_all(group, members, free)
-    by_worker = {id(room.worker): room for room in free}
+    by_worker = {id(candidate.worker): candidate for candidate in free}
     for row in placed:
-        _give_back(by_worker[id(row.worker)], group)
+        _release(by_worker[id(row.worker)], group)
     return bool(placed)
 
 
 def objective_s(
     entry: ledgers.Entry, queue: queues.Queue, lengths: lengths_.Lengths
 ) -> float:
-    """Give the time in which a job should be done, by what it should take."""
+    """Return a job's objective in seconds, based on its expected duration."""
     chain_s = model.longest_chain_s(
         entry.job.work, lengths_.of_job(lengths, entry)
     )
@@ -457,7 +508,7 @@
     lengths: lengths_.Lengths,
     now_s: float,
 ) -> float:
-    """Give the time in which a step has to end for its job to be in time."""
+    """Return the time left for a step if its job is to meet its objective."""
     entry = group.entry
     expected_s = lengths_.of_job(lengths, entry)
     work = entry.job.work
@@ -473,7 +524,7 @@
     lengths: lengths_.Lengths,
     now_s: float,
 ) -> bool:
-    """Say whether a job is too late to be worth anything to its caller."""
+    """Return whether a job is too late to be of use to its caller."""
     if entry.groups[0, 0].step.lasting:
         return False
     age_s = now_s - entry.arrived_s
@@ -486,14 +537,15 @@
     lengths: lengths_.Lengths,
     now_s: float,
 ):
-    """Order the groups of a pool; lower goes first.
-
-    Tasks that last go first: their work counts by the second. Then by
-    priority; then jobs that can still be on time in order of arrival, then
-    those that can't, and last those that are worthless by now and what a
-    tenant sends beyond what it may count on. A job that
-    would begin at the edge of its time would end late and make the next one
-    late as well; in a turn that a pool can't hold, all would be.
+    """Return the sort key of a group in its pool; lower keys go first.
+
+    Long-running tasks go first, since every second they do not run counts.
+    The others are ordered by priority, then by tier: jobs that can still meet
+    their objective, jobs that cannot, and last jobs that are of no more use or
+    exceed their tenant's rate. Within a tier, earlier arrivals go first.
+
+    A job started at the last moment would end late and delay the next one; in
+    a burst larger than the pool, every job would be late.
     """
     entry = group.entry
     if group.step.lasting:
@@ -512,7 +564,7 @@
     lengths: lengths_.Lengths,
     now_s: float,
 ) -> bool:
-    """Say whether a job can't be in time if a step of it begins now."""
+    """Return whether a job would miss its objective if the step began now."""
     length_s = lengths_.of_job(lengths, group.entry)[group.number]
     left = left_s(group, queue, lengths, now_s)
     return left < LATENESS_MARGIN * length_s
@@ -527,10 +579,10 @@
     only: set[ids.ServiceId] | None = None,
     in_turn: InTurn = list,
 ) -> dict[ids.ServiceId, list[ledgers.Group]]:
-    """Give the groups whose turn has come, in order, by pool.
+    """Return the groups that are ready to start, in order, by pool.
 
-    :param only: the pools that are asked for; None: all of them
-    :param in_turn: orders groups of the same urgency by their tenants
+    :param only: pools to include; None: all of them
+    :param in_turn: orders groups of equal urgency by their tenants
     """
     ready: dict[ids.ServiceId, list] = {}
     for group in list(ledger.open_groups):
@@ -557,7 +609,7 @@
 
 
 def _urgency_of(row: tuple[tuple, ledgers.Group]) -> tuple:
-    """Give what of a rank comes before the time of arrival."""
+    """Return the part of a rank that precedes the arrival time."""
     key, _group = row
     return key[:3]
 
@@ -565,9 +617,9 @@
 def is_unadvised(
     group: ledgers.Group, known: dict[str, queues.Queue], now_s: float
 ) -> bool:
-    """Say whether a step has to wait for advice.
+    """Return whether a step has to wait for advice.
 
-    While it is asked for, nothing is known of who may run the step.
+    Until the advice arrives, the workers that may run the step are unknown.
     """
     if not queue_of(group.entry, known).needs_advice:
         return False
@@ -579,9 +631,9 @@
     present: collections.abc.Container[ids.VmId],
     now_s: float,
 ) -> bool:
-    """Say whether advice on a step has to be asked for, or anew.
+    """Return whether advice on a step has to be requested, or requested again.
 
-    :param present: workers that may be given tasks at some time
+    :param present: workers that may accept tasks now or later
     """
     if now_s >= group.advised_until_s:
         return True
@@ -594,10 +646,10 @@
     workers: collections.abc.Iterable[workers_.Worker],
     service: ids.ServiceId,
 ) -> bool:
-    """Say whether a worker came with a label that none of the good ones has.
+    """Return whether a worker has joined with a label no advised worker has.
 
-    It is brought for this step, and goes again as it is idle long before the
-    advice runs out that doesn't know of it.
+    Such a worker is added for this step. While idle it would be removed again
+    long before the current advice, which does not include it, expires.
     """
     label = group.step.label
     if not label or not group.tickets:
@@ -617,8 +669,8 @@
 def queue_of(
     entry: ledgers.Entry, known: dict[str, queues.Queue]
 ) -> queues.Queue:
-    """Give a job's queue as the newest configuration has it.
+    """Return a job's queue as defined by the latest configuration.
 
-    A queue that was removed goes on as it was when the job came.
+    A queue that was removed stays as it was when the job was submitted.
     """
     return known.get(entry.job.queue.name, entry.job.queue)
--- a/oleanderwood/pools/quotas.py
+++ b/oleanderwood/pools/quotas.py
@@ -1,11 +1,11 @@
-"""How much teams and tenants may have running at once. Pure.
+"""Limits what teams and tenants may have running at once. Pure.
 
-Load it answers: one team's or tenant's flood of jobs must not take the room
-that others' jobs need; who stays below its limit never notices.
+Designed for a flood of jobs from one team or tenant, which must not use up the
+capacity that others need; whoever stays below its limit is not affected.
 
 A team's quota is the operators' own division of their cores among queues; a
-tenant's limit is the platform's word on a customer. A task counts against
-both, and starts only where both leave room.
+tenant's limit is set by the platform for a customer. A task counts against
+both and starts only if both allow it.
 """
 
 import collections.abc
@@ -20,18 +20,20 @@
 
 STARTING = (ledgers.RunPhase.ORDERED, ledgers.RunPhase.DOUBTFUL)
 
-ALONE_PART = 0.5
-"""Part of its limit up to which a tenant may start a task that goes beyond."""
+OVERSHOOT_BELOW_PART = 0.5
+"""Part of its limit up to which a tenant may start a task that exceeds the
+limit."""
 
 Limits = collections.abc.Mapping[ids.TenantId, tenants_.Limit]
 
 
 @dataclasses.dataclass(slots=True)
 class Used:
-    """What a tenant may have running at the moment.
+    """Resources that a tenant may have in use now.
 
-    :ivar starting: tasks that were decided just now, or may be running unheard
-        of; others whose start may yet arrive are among the workers' runs
+    :ivar starting: tasks whose start was just decided, or that may run without
+        having been reported; other starts in flight are among the runs of the
+        workers
     """
 
     cpu_millicores: int = 0
@@ -42,9 +44,11 @@
 
 @dataclasses.dataclass
 class Quotas:
-    """What is left to teams and tenants while starts are decided.
+    """What teams and tenants may still start while starts are decided.
 
     :ivar team_of: by queue; queues of no team have no quota
+    :ivar left_millicores: unused quota, by team
+    :ivar used: resources in use, by tenant that has a limit
     """
 
     team_of: dict[str, ids.TeamId] = dataclasses.field(default_factory=dict)
@@ -58,10 +62,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unseen:
-    """What an earlier leader may have left running that wasn't heard of yet.
+    """What an earlier leader may have left running without a report yet.
 
     :ivar groups: steps whose waiting tasks may be running already
-    :ivar most: what all of that can take at most; None: not known
+    :ivar most: upper bound of their resources; None: unknown
     """
 
     groups: collections.abc.Collection[ledgers.Group] = ()
@@ -75,10 +79,10 @@
     limits: Limits,
     unseen: Unseen = Unseen(),
 ) -> Quotas:
-    """Give what is left of each quota and limit beside what may run."""
+    """Return what is left of each quota and limit."""
     quotas = Quotas(limits=limits, workers=workers)
     if policy.teams:
-        _take_teams(quotas, policy)
+        _charge_teams(quotas, policy)
     if limits:
         for name in limits:
             running = ledger.running.get(name, ledgers.Running())
@@ -87,25 +91,25 @@
             )
         for worker in workers:
             for group in worker.foreign:
-                _use(quotas, group, starting=False)
-        _take_unseen(quotas, unseen)
+                _charge_tenant(quotas, group, starting=False)
+        _charge_unseen(quotas, unseen)
     return quotas
 
 
-def _take_teams(quotas: Quotas, policy: policies.Policy) -> None:
+def _charge_teams(quotas: Quotas, policy: policies.Policy) -> None:
     for team in policy.teams:
         quotas.left_millicores[team.name] = team.max_cores * 1000
         quotas.team_of.update(dict.fromkeys(team.queues, team.name))
     for worker in quotas.workers:
         for task in worker.runs.values():
-            _take_of_team(quotas, task.group)
+            _charge_team(quotas, task.group)
 
 
-def _take_unseen(quotas: Quotas, unseen: Unseen) -> None:
-    """Count what may run unheard of against its tenants' limits.
+def _charge_unseen(quotas: Quotas, unseen: Unseen) -> None:
+    """Charge runs that may exist without a report to their tenants' limits.
 
-    It lies on workers that haven't told of all yet, so it is no more than
-    these can hold.
+    They are on workers that have not reported everything yet, so they use no
+    more than these workers hold.
     """
     asked: dict[ids.TenantId, Used] = {}
     for group in unseen.groups:
@@ -119,7 +123,7 @@
         row.memory_mb += waiting * needs.memory_mb
         row.gpus += waiting * needs.gpus
         if group.step.uses_leftover:
-            # Its processor time is beyond any worker's capacity.
+            # Leftover CPU is not bounded by the workers' capacity.
             used.cpu_millicores += waiting * needs.cpu_millicores
         else:
             row.cpu_millicores += waiting * needs.cpu_millicores
@@ -134,7 +138,7 @@
 
 
 def copy(quotas: Quotas) -> Quotas:
-    """Give quotas to decide by for a trial."""
+    """Return a copy of the quotas for a trial decision."""
     return Quotas(
         quotas.team_of,
         dict(quotas.left_millicores),
@@ -148,12 +152,12 @@
 
 
 def allows(quotas: Quotas, group: ledgers.Group, tasks: int = 1) -> bool:
-    """Say whether some more tasks of a group may start together.
+    """Return whether the given number of tasks of a group may start together.
 
-    A task that needs more than the rest of its tenant's limit waits; but one
-    that needs more than half of the limit would wait for good beside small
-    ones, so with little running it may go beyond. Starts that are under way
-    arrive in any order, so nothing else may be starting then.
+    A task that needs more than the rest of its tenant's limit waits. A task
+    that needs more than half of the limit would wait forever while small ones
+    keep running, so it may exceed the limit when little is running. Starts in
+    flight arrive in any order, so nothing else may be starting then.
     """
     team = _team(quotas, group)
     needs = group.step.needs
@@ -169,13 +173,13 @@
         return True
     return (
         tasks == 1
-        and _within(used, needs, limit, 0, ALONE_PART)
+        and _within(used, needs, limit, 0, OVERSHOOT_BELOW_PART)
         and not _is_starting(quotas, tenant)
     )
 
 
 def _is_starting(quotas: Quotas, tenant: ids.TenantId) -> bool:
-    """Say whether a start of a tenant's may yet arrive at its worker."""
+    """Return whether a start of a tenant may still reach its worker."""
     return quotas.used[tenant].starting > 0 or any(
         task.run.phase in STARTING
         for worker in quotas.workers
@@ -191,9 +195,9 @@
     tasks: int,
     part: float,
 ) -> bool:
-    """Say whether what runs and some tasks more stay within part of a limit.
+    """Return whether the usage plus some tasks stays within part of a limit.
 
-    What a task doesn't need says nothing against it.
+    Resources that the task does not need are not checked.
     """
     rows = (
         (limit.cpu_millicores, used.cpu_millicores, needs.cpu_millicores),
@@ -201,20 +205,20 @@
         (limit.gpus, used.gpus, needs.gpus),
     )
     return all(
-        not most or not each or has + tasks * each <= most * part
-        for most, has, each in rows
+        not most or not needed or used_amount + tasks * needed <= most * part
+        for most, used_amount, needed in rows
     )
 
 
 def at_limit(quotas: Quotas, tenant: ids.TenantId) -> bool:
-    """Say whether a tenant has reached its limit of some resource."""
+    """Return whether a tenant has reached its limit of some resource."""
     used = quotas.used.get(tenant)
     if used is None:
         return False
     limit = quotas.limits[tenant]
     return any(
-        most and has >= most
-        for most, has in (
+        most and used_amount >= most
+        for most, used_amount in (
             (limit.cpu_millicores, used.cpu_millicores),
             (limit.memory_mb, used.memory_mb),
             (limit.gpus, used.gpus),
@@ -222,20 +226,22 @@
     )
 
 
-def take(quotas: Quotas, group: ledgers.Group) -> None:
-    """Note a task that starts."""
-    _take_of_team(quotas, group)
-    _use(quotas, group, starting=True)
+def charge(quotas: Quotas, group: ledgers.Group) -> None:
+    """Charge a task that starts."""
+    _charge_team(quotas, group)
+    _charge_tenant(quotas, group, starting=True)
 
 
-def _take_of_team(quotas: Quotas, group: ledgers.Group) -> None:
+def _charge_team(quotas: Quotas, group: ledgers.Group) -> None:
     team = _team(quotas, group)
     if team is not None:
         needs = group.step.needs
         quotas.left_millicores[team] -= needs.cpu_millicores
 
 
-def _use(quotas: Quotas, group: ledgers.Group, starting: bool) -> None:
+def _charge_tenant(
+    quotas: Quotas, group: ledgers.Group, starting: bool
+) -> None:
     used = quotas.used.get(group.entry.job.tenant)
     if used is not None:
         needs = group.step.needs
@@ -246,9 +252,9 @@
 
 
 def claim(quotas: Quotas, group: ledgers.Group) -> int:
-    """Take what the waiting tasks of a group may start; gives how many.
+    """Charge as many waiting tasks of a group as may start; return the count.
 
-    What may not run yet asks for no machines.
+    Tasks that may not run yet require no machines.
     """
     waiting = len(group.waiting)
     if not quotas.used and not quotas.team_of:
@@ -257,19 +263,19 @@
         if not allows(quotas, group, waiting):
             return 0
         for _ in range(waiting):
-            take(quotas, group)
+            charge(quotas, group)
         return waiting
     claimed = 0
     while claimed < waiting and allows(quotas, group):
-        take(quotas, group)
+        charge(quotas, group)
         claimed += 1
     return claimed
 
 
 def exceeds(step: model.Step, limit: tenants_.Limit) -> bool:
-    """Say whether a step can never run within a tenant's limit.
+    """Return whether a step can never run within a tenant's limit.
 
-    Only a gang can't: of others one task at a time always may.
+    This holds for gangs only: other tasks may always run one at a time.
     """
     if not step.gang:
         return False
@@ -277,7 +283,7 @@
 
 
 def _team(quotas: Quotas, group: ledgers.Group) -> ids.TeamId | None:
-    """Give the team whose quota a task counts against; None if none does."""
+    """Return the team whose quota a task counts against, if any."""
     if group.step.lasting or group.step.uses_leftover:
         return None
     return quotas.team_of.get(group.entry.job.queue.name)
--- a/oleanderwood/pools/reports.py
+++ b/oleanderwood/pools/reports.py
@@ -1,4 +1,4 @@
-"""What workers tell of themselves, and what they are told."""
+"""Messages between leader and workers: entries, reports and orders."""
 
 import enum
 
@@ -11,7 +11,7 @@
 class Entry(msgspec.Struct, frozen=True):
     """A worker's own entry in the store.
 
-    :ivar worker: one life of a machine's executor, see
+    :ivar worker: one incarnation of a machine's executor, see
         :mod:`oleanderwood.pools.lives`
     :ivar labels: its kind, then its rack
     """
@@ -27,7 +27,7 @@
 
 
 def rack(entry: Entry) -> str:
-    """Give the worker's rack, '' if it doesn't tell."""
+    """Return the worker's rack, '' if its entry has none."""
     return entry.labels[1] if len(entry.labels) > 1 else ''
 
 
@@ -38,19 +38,19 @@
     FAILED = 'failed'
     STOPPED = 'stopped'
     LAPSED = 'lapsed'
-    """The worker's lease ran out."""
+    """The worker's lease expired."""
 
     BROKEN = 'broken'
     """Another task of its gang ended."""
 
     ALONE = 'alone'
-    """The other tasks of its gang didn't come."""
+    """The other tasks of its gang did not start."""
 
 
 class Running(msgspec.Struct, frozen=True):
-    """One run as its worker reports it.
+    """One run as reported by its worker.
 
-    :ivar percent: how far it is; a long-running task works at 100
+    :ivar percent: progress; 100 while a long-running task is at work
     """
 
     task: ids.TaskId
@@ -61,7 +61,7 @@
 
 
 class Ended(msgspec.Struct, frozen=True):
-    """One end as its worker reports it; numbers grow by one."""
+    """End of one run as reported by its worker; numbers rise by one."""
 
     number: int
     task: ids.TaskId
@@ -74,9 +74,9 @@
     """A worker's answer to a renewal.
 
     :ivar own_clock_ms: the worker's own steady clock
-    :ivar whole: it lists all ends that aren't acknowledged; of a run that it
-        lacks otherwise, the end may not have been listed yet
-    :ivar worker: the life that answered; '' for the one that was called
+    :ivar whole: all unacknowledged ends are listed; otherwise, a run that is
+        missing may have ended without its end being listed yet
+    :ivar worker: the incarnation that answered; '' for the one that was called
     """
 
     own_clock_ms: float
@@ -87,7 +87,7 @@
 
 
 class Start(msgspec.Struct, frozen=True):
-    """An order to start a task."""
+    """Order to start a task."""
 
     task: ids.TaskId
     attempt: int
@@ -99,7 +99,7 @@
 
 
 class Renewal(msgspec.Struct, frozen=True):
-    """An order to renew the lease of all that runs on a worker.
+    """Order to renew the lease of all runs on a worker.
 
     :ivar acknowledged: ends up to this number may be forgotten
     :ivar lease_end_clock_ms: on the worker's clock; None: no renewal
--- a/oleanderwood/pools/shares.py
+++ b/oleanderwood/pools/shares.py
@@ -1,10 +1,10 @@
-"""Whose waiting work goes first where a pool is full. Pure.
+"""Orders waiting work by tenant where a pool is full. Pure.
 
-Load it answers: a large tenant's hour fills a pool, and the few jobs of small
-ones would wait behind all of it. A tenant goes first that has the least
-running for its weight; what it has waiting in turn counts as running, so that
-none gets more than its share at once. Where nobody else waits, a tenant may
-have all that is free.
+Designed for a busy hour of a large tenant that fills a pool, where the few
+jobs of small tenants would wait behind all of it. The tenant with the least
+running for its weight goes first; its work that was already ordered counts as
+running, so none gets more than its share at once. A tenant may use all free
+capacity while no other tenant waits.
 """
 
 import collections
@@ -16,11 +16,12 @@
 from oleanderwood.jobs import model
 from oleanderwood.pools import quotas as quotas_
 
-LEAST_WEIGHT = 1.0
-"""Weight of work without a tenant, and of tenants that have gone."""
+MIN_WEIGHT = 1.0
+"""Weight of work without a tenant, and of tenants that were removed."""
 
-RATE_SPAN_S = 1.0
-"""Span in which a tenant may count on its weight in jobs."""
+RATE_WINDOW_S = 1.0
+"""Window in seconds in which a tenant may submit as many jobs as its
+weight."""
 
 Weights = collections.abc.Mapping[ids.TenantId, float]
 
@@ -28,13 +29,13 @@
 def is_beyond(
     arrivals_s: collections.deque[float], weight: float, now_s: float
 ) -> bool:
-    """Note an arrival; says whether its tenant sends more than its weight.
+    """Record an arrival; return whether it exceeds the rate set by the weight.
 
-    :param arrivals_s: of the tenant's jobs that weren't beyond it, lately
+    :param arrivals_s: recent arrivals of the tenant that did not exceed it
     """
-    while arrivals_s and now_s - arrivals_s[0] >= RATE_SPAN_S:
+    while arrivals_s and now_s - arrivals_s[0] >= RATE_WINDOW_S:
         arrivals_s.popleft()
-    if len(arrivals_s) >= max(LEAST_WEIGHT, weight) * RATE_SPAN_S:
+    if len(arrivals_s) >= max(MIN_WEIGHT, weight) * RATE_WINDOW_S:
         return True
     arrivals_s.append(now_s)
     return False
@@ -46,11 +47,11 @@
     weights: Weights,
     whole: model.Resources,
 ) -> list[ledgers.Group]:
-    """Order groups of the same urgency by their tenants' shares.
+    """Order groups of equal urgency by their tenants' shares.
 
     The groups of one tenant keep their order.
 
-    :param whole: what all workers have together
+    :param whole: total capacity of all workers
     """
     queues: dict[ids.TenantId, collections.deque[ledgers.Group]] = {}
     for group in groups:
@@ -58,42 +59,42 @@
         queues.setdefault(tenant, collections.deque()).append(group)
     if len(queues) < 2:
         return groups
-    line: list[tuple[float, int, ids.TenantId]] = []
+    heap: list[tuple[float, int, ids.TenantId]] = []
     for place, tenant in enumerate(queues):
         used = quotas.used.get(tenant, quotas_.Used())
-        share = _share(
+        share = _dominant_share(
             used.cpu_millicores, used.memory_mb, used.gpus, whole
         ) / _weight(weights, tenant)
-        heapq.heappush(line, (share, place, tenant))
+        heapq.heappush(heap, (share, place, tenant))
     ordered = []
-    while line:
-        share, place, tenant = heapq.heappop(line)
+    while heap:
+        share, place, tenant = heapq.heappop(heap)
         group = queues[tenant].popleft()
         ordered.append(group)
         if queues[tenant]:
             needs = group.step.needs
             waiting = len(group.waiting)
-            share += _share(
+            share += _dominant_share(
                 waiting * needs.cpu_millicores,
                 waiting * needs.memory_mb,
                 waiting * needs.gpus,
                 whole,
             ) / _weight(weights, tenant)
-            heapq.heappush(line, (share, place, tenant))
+            heapq.heappush(heap, (share, place, tenant))
     return ordered
 
 
 def _weight(weights: Weights, tenant: ids.TenantId) -> float:
-    return max(LEAST_WEIGHT, weights.get(tenant, LEAST_WEIGHT))
+    return max(MIN_WEIGHT, weights.get(tenant, MIN_WEIGHT))
 
 
-def _share(
+def _dominant_share(
     cpu_millicores: float,
     memory_mb: float,
     gpus: float,
     whole: model.Resources,
 ) -> float:
-    """Give the part of the resource of which it is most."""
+    """Return the largest of the shares of the single resources."""
     return max(
         cpu_millicores / max(1, whole.cpu_millicores),
         memory_mb / max(1, whole.memory_mb),
--- a/oleanderwood/pools/shortage.py
+++ b/oleanderwood/pools/shortage.py
@@ -1,9 +1,9 @@
-"""Steps that fit on none of their pool's workers, even idle ones. Pure.
+"""Finds steps that fit on none of their pool's workers, even idle ones. Pure.
 
-Load it answers: a pool has given its machines away, and those that are left
-are of another kind than a step asks for, too few for a gang, or none that the
-platform's advice allows. However long the step waits, nothing gets free that
-it could use; another machine might do.
+Designed for a pool that has given machines away. Those that are left are of
+another kind than the step requires, too few for a gang, or not allowed by the
+platform's advice. However long the step waits, no suitable capacity is freed;
+another machine might be suitable.
 """
 
 import collections.abc
@@ -16,7 +16,7 @@
 
 
 def is_particular(group: ledgers.Group) -> bool:
-    """Say whether a step asks for more than room on some worker."""
+    """Return whether a step needs more than free capacity on some worker."""
     step = group.step
     return step.gang or bool(step.label) or group.tickets is not None
 
@@ -24,16 +24,16 @@
 def idle_rooms(
     pool: collections.abc.Iterable[workers_.Worker],
 ) -> list[placing.Room]:
-    """Give the room of a pool's workers, were all idle."""
+    """Return the free resources of a pool's workers as if all were idle."""
     return [_idle(worker) for worker in pool if not worker.entry.draining]
 
 
-def fits_nowhere(group: ledgers.Group, rooms: list[placing.Room]) -> bool:
-    """Say whether a step could start on no worker of a pool, were all idle."""
+def fits_nowhere(group: ledgers.Group, candidates: list[placing.Room]) -> bool:
+    """Return whether no worker could start a step, even if all were idle."""
     if group.step.gang:
         members = [task for task in group.tasks if not task.done]
-        return not placing.could_place_all(group, members, rooms)
-    return not any(placing.fits(room, group) for room in rooms)
+        return not placing.could_place_all(group, members, candidates)
+    return not any(placing.fits(candidate, group) for candidate in candidates)
 
 
 def could_hold(
@@ -41,17 +41,17 @@
     labels: collections.abc.Collection[str],
     capacity: model.Resources,
 ) -> int:
-    """Give how many tasks of a step a machine could hold, were it idle."""
+    """Return how many tasks of a step an idle machine could hold."""
     if step.label and step.label not in labels:
         return 0
     most = [
-        has // asked
-        for has, asked in (
+        available // needed
+        for available, needed in (
             (capacity.cpu_millicores, step.needs.cpu_millicores),
             (capacity.memory_mb, step.needs.memory_mb),
             (capacity.gpus, step.needs.gpus),
         )
-        if asked
+        if needed
     ]
     if step.max_per_worker:
         most.append(step.max_per_worker)
@@ -59,7 +59,7 @@
 
 
 def _idle(worker: workers_.Worker) -> placing.Room:
-    """Give the room of a worker without all tasks that will end."""
+    """Return a worker's resources without its tasks that will end."""
     cpu = memory = gpus = lasting = 0
     for task in worker.runs.values():
         step = task.group.step
--- a/oleanderwood/pools/stalls.py
+++ b/oleanderwood/pools/stalls.py
@@ -1,26 +1,26 @@
-"""Which runs make no headway and are better begun elsewhere. Pure.
+"""Finds runs that make no progress and should be restarted elsewhere. Pure.
 
-Load it answers: tasks on some workers stand still, while these report and
-renew as always.
+Designed for workers whose tasks stand still while they report and renew
+normally.
 """
 
 from oleanderwood.jobs import ledger as ledgers
 from oleanderwood.pools import workers as workers_
 
 STALLED_S = 3.0
-"""Time without any headway after which a run has stalled; headway is told in
-percent, at least once a second."""
+"""Time in seconds without progress after which a run has stalled. Progress is
+reported in percent, at least once a second."""
 
-LONG_FACTOR = 0.5
-"""Part of the guessed time that a run may make no headway, if that is more:
-tasks of minutes move by less than a percent a second."""
+MAX_STILL_FACTOR = 0.5
+"""Part of the estimated duration that a run may make no progress, if that is
+longer: a task of minutes progresses by less than one percent a second."""
 
 STARTUP_S = 6.0
-"""Time in which a long-running task has to be at work."""
+"""Time in seconds within which a long-running task has to be at work."""
 
 
 def stalled(worker: workers_.Worker, now_s: float) -> list[ledgers.Task]:
-    """Give the tasks whose runs on a worker have stalled."""
+    """Return the tasks whose runs on a worker have stalled."""
     return [
         task
         for task in worker.runs.values()
@@ -33,18 +33,18 @@
 def _is_stalled(task: ledgers.Task, run: ledgers.Run, now_s: float) -> bool:
     if run.pace_percent != 100 or run.moved_on_s == 0:
         return False
-    still_s = now_s - _moved_on_s(task, run)
+    still_s = now_s - _last_progress_s(task, run)
     if task.group.step.lasting:
         return run.at_work_since_s is None and still_s > STARTUP_S
-    guess_s = task.group.step.guess_ms / 1000
-    return still_s > max(STALLED_S, LONG_FACTOR * guess_s)
+    estimate_s = task.group.step.guess_ms / 1000
+    return still_s > max(STALLED_S, MAX_STILL_FACTOR * estimate_s)
 
 
-def _moved_on_s(task: ledgers.Task, run: ledgers.Run) -> float:
-    """Give when a run got on last; of a gang, when any of its members did.
+def _last_progress_s(task: ledgers.Task, run: ledgers.Run) -> float:
+    """Return when a run, or any member of its gang, last made progress.
 
-    A gang ends as a whole: a member that is done with its part waits for those
-    that are slower, and its end would break theirs.
+    A gang ends as a whole: a member that has finished its part waits for the
+    slower ones, and stopping it would end their runs too.
     """
     if not task.group.step.gang:
         return run.moved_on_s
--- a/oleanderwood/pools/workers.py
+++ b/oleanderwood/pools/workers.py
@@ -1,8 +1,8 @@
-"""What is known of one worker: its lease, its runs, its room.
+"""State of one worker: its lease, its runs and its use of resources.
 
-Pure. A run is over only on proof: its worker lists its end, the worker took
-the order to stop it and reports without it, the worker is gone, or the last
-lease that it can hold has ended.
+Pure. A run counts as over only on proof: its worker lists its end, the worker
+took the order to stop it and reports without it, the worker is gone, or the
+last lease that it can hold has ended.
 """
 
 import collections.abc
@@ -16,28 +16,28 @@
 from oleanderwood.pools import reports
 
 SLOW_CLOCK_RATE = 0.98
-"""Rate of the slowest steady clock of a worker, by the platform's promise."""
+"""Lowest rate of a worker's steady clock that the platform guarantees."""
 
 STOP_REPEAT_S = 1.0
-"""Time after which a stop is ordered again while its run is still listed;
-a stop takes 0.2 s."""
+"""Time after which a stop is ordered again while its run is still listed. A
+stop takes 0.2 s."""
 
 REFUSED_S = 1.5
-"""Time for which a refusal for want of room is remembered: a heartbeat, within
-which the worker's entry tells of its room."""
+"""Time for which a rejection for lack of resources is remembered: one
+heartbeat, within which the worker's entry reports its reduced capacity."""
 
-SERVES_S = 1.0
-"""Time at work after which a long-running task counts as sound."""
+MIN_AT_WORK_S = 1.0
+"""Time at work after which a long-running task counts as healthy."""
 
-FAILURES_IN_A_ROW = 3
+FAILED_TASKS = 3
 FAILED_JOBS = 2
-"""Failed runs of different tasks, and of different jobs, with no good one
-between, after which a worker is tried with one task at a time: all tasks of a
-job that can't be done fail."""
+"""Numbers of failed runs, of different tasks and of different jobs and without
+a successful one in between, after which a worker gets one task at a time. Both
+are needed, since all tasks of a job that cannot succeed fail on any worker."""
 
 
 class RunName(typing.NamedTuple):
-    """One run of a task."""
+    """Identifies one run of a task."""
 
     task: ids.TaskId
     attempt: int
@@ -45,35 +45,39 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Worker:
-    """One worker.
-
-    :ivar listed: its entry in the store is there and can be used
-    :ivar rostered: the roster in the store surely names it where it is
-    :ivar fenced: it has answered under this term, so that orders of an
-        earlier one are refused there
-    :ivar heard: it has told under this term of all that runs and has ended
-    :ivar silent_since_s: since when calls to it fail; None: it answers
-    :ivar silent_after_s: from when on it may have been so
-    :ivar gone: proven: nothing runs there any more, and nothing will
-    :ivar own_clock_ms, clock_at_s: its clock, and when it was read
-    :ivar lease_end_s: by when any lease that it may hold has ended
-    :ivar seen_end: number of the last end taken in
-    :ivar kept_end: number of the last end that is in the store
+    """State of one worker as its leader knows it.
+
+    :ivar listed: its entry is in the store and is usable
+    :ivar rostered: the stored list of workers is known to name it at its
+        current place
+    :ivar fenced: it has answered under this term, so it refuses orders of
+        earlier terms
+    :ivar heard: it has reported all its runs and ends under this term
+    :ivar silent_since_s: when calls to it began to fail; None: it answers
+    :ivar silent_after_s: earliest time at which it may have become unreachable
+    :ivar gone: proven: nothing runs on it any more, nor will
+    :ivar own_clock_ms, clock_at_s: its clock, and when that was read
+    :ivar lease_end_s: time by which any lease that it may hold has ended
+    :ivar seen_end: number of the last end that was processed
+    :ivar kept_end: number of the last end that is stored
     :ivar due: its machine is due for maintenance
-    :ivar closed: no new tasks, its machine is about to go down or move
-    :ivar emptying: no new tasks, another pool wants its machine
-    :ivar refused: the least needs that it lately had no room for, until
-        ``refused_until_s``
-    :ivar failures: failed runs since the last good one
-    :ivar stalled: runs that made no headway, since the last good one
+    :ivar closed: accepts no tasks, as its machine is about to go down or move
+    :ivar emptying: accepts no tasks, as another pool needs its machine
+    :ivar refused: smallest request that it recently rejected for lack of
+        resources; valid until ``refused_until_s``
+    :ivar failures: failed runs since the last successful one
+    :ivar stalled: stalled runs since the last successful one
     :ivar slow: it is several times slower than its pool
-    :ivar foreign: steps of runs that it lists and that aren't ours; they take
-        room until they have been stopped
-    :ivar crowded: it lists a run of which nothing is known
-    :ivar doubtful: runs whose order got no answer and that it hasn't listed;
-        they may begin late, in this life or the executor's next
-    :ivar provisional: it was met by its answer, where its executor's earlier
-        life had been; where it belongs, its own entry tells
+    :ivar orphan_stops_s: when each orphaned run was last ordered to stop
+    :ivar foreign: steps of unmanaged runs that it lists; they use resources
+        until they have been stopped
+    :ivar crowded: it lists a run whose needs are unknown
+    :ivar doubtful: unconfirmed runs: their start order got no answer and the
+        worker has not listed them. They may begin late, in this or the next
+        incarnation of the executor
+    :ivar provisional: added when it answered a call meant for an earlier
+        incarnation; its pool is not certain until its own entry is read
+    :ivar met_s: when it was first contacted
     """
 
     entry: reports.Entry
@@ -102,7 +106,9 @@
     runs: dict[ids.TaskId, ledgers.Task] = dataclasses.field(
         default_factory=dict
     )
-    strays: dict[RunName, float] = dataclasses.field(default_factory=dict)
+    orphan_stops_s: dict[RunName, float] = dataclasses.field(
+        default_factory=dict
+    )
     foreign: list[ledgers.Group] = dataclasses.field(default_factory=list)
     crowded: bool = False
     doubtful: dict[RunName, None] = dataclasses.field(default_factory=dict)
@@ -112,8 +118,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Note:
-    """What a report told of a run, for the log."""
+class RunEvent:
+    """Event of a run that a report revealed, for the log."""
 
     event: str
     task: ids.TaskId
@@ -123,12 +129,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loss:
-    """A run that a worker may have taken along as it went.
+    """A run that may have been lost with its worker.
 
-    :ivar age_s: time from its order to the first sign that the worker is gone;
-        None if it isn't known when that was sent
-    :ivar doubt_s: by how much it may have been younger
-    :ivar losses: runs of its task that were lost so, this one among them
+    :ivar age_s: time from its start order to the first sign that the worker
+        was gone; None if the time of the order is unknown
+    :ivar doubt_s: by how much the age may be overestimated
+    :ivar losses: runs of its task that were lost this way, including this one
     """
 
     task: ledgers.Task
@@ -139,13 +145,14 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What a report makes necessary.
-
-    :ivar stops: runs to stop at this worker
-    :ivar elsewhere: tasks that are done whose run elsewhere is to be stopped
-    :ivar lengths: tasks that are done, and how long they took
-    :ivar changed: whether tasks became ready or room became free
-    :ivar notes: for the log
+    """Actions that follow from a report.
+
+    :ivar stops: runs to stop on this worker
+    :ivar elsewhere: tasks whose run on another worker is to be stopped: they
+        are done, or this worker reports a second run
+    :ivar lengths: tasks that are done, and how long they took in seconds
+    :ivar changed: whether tasks became ready or resources were freed
+    :ivar notes: events for the log
     """
 
     stops: list[RunName] = dataclasses.field(default_factory=list)
@@ -154,23 +161,23 @@
         default_factory=list
     )
     changed: bool = False
-    notes: list[Note] = dataclasses.field(default_factory=list)
+    notes: list[RunEvent] = dataclasses.field(default_factory=list)
 
 
 def clock_now_ms(worker: Worker, now_s: float) -> float:
-    """Estimate the worker's clock."""
+    """Return an estimate of the worker's clock."""
     return worker.own_clock_ms + (now_s - worker.clock_at_s) * 1000
 
 
 def note_lease(worker: Worker, lease_end_clock_ms: float) -> None:
-    """Note that the worker may get a lease up to a time of its clock."""
+    """Record that the worker may get a lease up to a time of its clock."""
     left_s = (lease_end_clock_ms - worker.own_clock_ms) / 1000
     end_s = worker.clock_at_s + left_s / SLOW_CLOCK_RATE
     worker.lease_end_s = max(worker.lease_end_s, end_s)
 
 
 def note_answer(worker: Worker, report: reports.Report, now_s: float) -> None:
-    """Note that the worker answered under this term."""
+    """Record that the worker answered under this term."""
     worker.fenced = True
     worker.heard = worker.heard or report.whole
     worker.silent_since_s = None
@@ -186,10 +193,10 @@
     now_s: float,
     most_attempts: collections.abc.Callable[[ledgers.Entry], int],
 ) -> Outcome:
-    """Take over a worker's report.
+    """Apply a worker's report.
 
-    :param sent_s: when the call was sent that the report answers
-    :param most_attempts: how often a job's task may fail
+    :param sent_s: when the call that the report answers was sent
+    :param most_attempts: returns how often a task of a job may fail
     """
     outcome = Outcome()
     for row in [*report.ended, *report.running]:
@@ -197,23 +204,23 @@
     for row in report.ended:
         if row.number > worker.seen_end:
             worker.seen_end = row.number
-            _take_end(ledger, worker, row, now_s, most_attempts, outcome)
+            _apply_end(ledger, worker, row, now_s, most_attempts, outcome)
     listed = set()
     for row in report.running:
         listed.add((row.task, row.attempt))
-        _take_running(ledger, worker, row, sent_s, now_s, outcome)
+        _apply_running(ledger, worker, row, sent_s, now_s, outcome)
     for name, task in list(worker.runs.items()):
         run = task.run
         if run is None or run.worker != worker.entry.worker:
             del worker.runs[name]
         elif report.whole and (name, run.attempt) not in listed:
-            _take_absence(ledger, worker, task, sent_s, now_s, outcome)
-    _note_foreign(ledger, worker, report)
+            _apply_absence(ledger, worker, task, sent_s, now_s, outcome)
+    _record_unmanaged(ledger, worker, report)
     return outcome
 
 
-def _note_foreign(ledger, worker, report) -> None:
-    """Note what runs on a worker beside the runs that are ours."""
+def _record_unmanaged(ledger, worker, report) -> None:
+    """Record the worker's runs that this leader does not manage."""
     worker.foreign = []
     worker.crowded = False
     for row in report.running:
@@ -224,16 +231,18 @@
             worker.foreign.append(task.group)
 
 
-def _take_end(ledger, worker, row, now_s, most_attempts, outcome) -> None:
+def _apply_end(ledger, worker, row, now_s, most_attempts, outcome) -> None:
     outcome.changed = True
-    outcome.notes.append(Note(row.how.value, row.task, row.attempt))
+    outcome.notes.append(RunEvent(row.how.value, row.task, row.attempt))
     task = ledgers.find(ledger, row.task)
     if task is None:
         outcome.notes.append(
-            Note('stray-end', row.task, row.attempt, 'its job is not known')
+            RunEvent(
+                'stray-end', row.task, row.attempt, 'its job is not known'
+            )
         )
         return
-    # It is listed, so its worker didn't go.
+    # Its worker listed this end, so it did not crash.
     isolation.clear(task, row.attempt)
     current = is_current(worker, task, row.attempt)
     expected = current and task.run.phase is not ledgers.RunPhase.STOPPING
@@ -275,7 +284,7 @@
 
 
 def is_current(worker: Worker, task: ledgers.Task, attempt: int) -> bool:
-    """Say whether this is the task's run that we know of."""
+    """Return whether this is the task's current run."""
     run = task.run
     return (
         run is not None
@@ -291,18 +300,18 @@
     now_s: float,
     checkpoint: str = '',
 ) -> None:
-    """Note that the task's run on this worker is over."""
+    """Record that the task's run on this worker is over."""
     worker.runs.pop(task.name, None)
     if not worker.runs:
         worker.idle_since_s = now_s
     ledgers.over(ledger, task, now_s, checkpoint)
 
 
-def _take_running(ledger, worker, row, sent_s, now_s, outcome) -> None:
+def _apply_running(ledger, worker, row, sent_s, now_s, outcome) -> None:
     task = ledgers.find(ledger, row.task)
-    why = _why_unwanted(task)
+    why = _reason_unwanted(task)
     if why:
-        _stop_stray(worker, row, now_s, outcome, why)
+        _stop_orphan(worker, row, now_s, outcome, why)
         return
     isolation.clear(task, row.attempt)
     if is_current(worker, task, row.attempt):
@@ -310,7 +319,7 @@
         run.seen = True
         if isolation.note_going_on(task, sent_s - run.begun_s):
             outcome.changed = True
-            outcome.notes.append(Note('trusted', row.task, row.attempt))
+            outcome.notes.append(RunEvent('trusted', row.task, row.attempt))
         if run.phase in (
             ledgers.RunPhase.ORDERED,
             ledgers.RunPhase.DOUBTFUL,
@@ -318,7 +327,7 @@
             ledgers.set_phase(run, ledgers.RunPhase.RUNNING, now_s)
             run.moved_on_s = now_s
         ledgers.apply_report(task, row, now_s)
-        if serves(task, now_s):
+        if is_established(task, now_s):
             isolation.clear(task)
         if (
             run.phase is ledgers.RunPhase.STOPPING
@@ -328,34 +337,35 @@
             outcome.stops.append(RunName(row.task, row.attempt))
         return
     if row.attempt <= task.over_attempt:
-        _stop_stray(worker, row, now_s, outcome, 'over')
+        _stop_orphan(worker, row, now_s, outcome, 'over')
         return
     if task.run is not None and row.attempt <= task.run.attempt:
-        _stop_stray(worker, row, now_s, outcome, 'older')
+        _stop_orphan(worker, row, now_s, outcome, 'older')
         return
     if task.run is not None:
         outcome.elsewhere.append(task)
-        _stop_stray(worker, row, now_s, outcome, 'second')
+        _stop_orphan(worker, row, now_s, outcome, 'second')
         return
     ledgers.adopt(ledger, task, worker.entry.worker, row.attempt, now_s)
     worker.runs[task.name] = task
     ledgers.apply_report(task, row, now_s)
-    outcome.notes.append(Note('adopted', row.task, row.attempt))
+    outcome.notes.append(RunEvent('adopted', row.task, row.attempt))
 
 
-def serves(task: ledgers.Task, now_s: float) -> bool:
-    """Say whether a task that lasts works, so that no crash is its doing.
+def is_established(task: ledgers.Task, now_s: float) -> bool:
+    """Return whether a long-running task has worked long enough.
 
-    Its worker will crash some day, and so may the next ones in a long life.
+    Such a task is not blamed for a crash: every worker crashes at some time,
+    and over a long run several may.
     """
     if not task.group.step.lasting:
         return False
     since_s = task.run.at_work_since_s
-    return since_s is not None and now_s - since_s >= SERVES_S
+    return since_s is not None and now_s - since_s >= MIN_AT_WORK_S
 
 
-def _why_unwanted(task: ledgers.Task | None) -> str:
-    """Say why no run of a task is wanted; '' if one is."""
+def _reason_unwanted(task: ledgers.Task | None) -> str:
+    """Return why no run of a task is wanted; '' if one is."""
     if task is None:
         return 'its job is not known'
     if task.done:
@@ -365,21 +375,21 @@
     return ''
 
 
-def _stop_stray(worker, row, now_s, outcome, why) -> None:
+def _stop_orphan(worker, row, now_s, outcome, why) -> None:
     key = RunName(row.task, row.attempt)
-    if now_s - worker.strays.get(key, -STOP_REPEAT_S) < STOP_REPEAT_S:
+    if now_s - worker.orphan_stops_s.get(key, -STOP_REPEAT_S) < STOP_REPEAT_S:
         return
-    worker.strays[key] = now_s
+    worker.orphan_stops_s[key] = now_s
     outcome.stops.append(key)
-    outcome.notes.append(Note('stray', row.task, row.attempt, why))
+    outcome.notes.append(RunEvent('stray', row.task, row.attempt, why))
 
 
-def _take_absence(ledger, worker, task, sent_s, now_s, outcome) -> None:
-    """Draw conclusions from a report that lacks a run that we know of."""
+def _apply_absence(ledger, worker, task, sent_s, now_s, outcome) -> None:
+    """Update a known run that is missing from a report."""
     run = task.run
     if run.phase is ledgers.RunPhase.STOPPING:
         if run.stop_answered_s is not None and sent_s >= run.stop_answered_s:
-            outcome.notes.append(Note('settled', task.name, run.attempt))
+            outcome.notes.append(RunEvent('settled', task.name, run.attempt))
             outcome.changed = True
             end_run(ledger, worker, task, now_s)
         elif now_s - run.phase_since_s > STOP_REPEAT_S:
@@ -388,11 +398,11 @@
         return
     if run.phase is ledgers.RunPhase.ORDERED or sent_s < run.phase_since_s:
         return
-    # It may yet begin there; once a stop was taken, it can't.
+    # It may still begin there until the worker has taken a stop.
     ledgers.set_phase(run, ledgers.RunPhase.STOPPING, now_s)
     run.stop_answered_s = None
     outcome.stops.append(RunName(task.name, run.attempt))
-    outcome.notes.append(Note('absent', task.name, run.attempt))
+    outcome.notes.append(RunEvent('absent', task.name, run.attempt))
 
 
 def succeed(
@@ -402,15 +412,15 @@
     report: reports.Report,
     now_s: float,
 ) -> list[RunName]:
-    """Let a later life of an executor answer for what an earlier one ran.
+    """Transfer the runs of an executor's incarnation to its next one.
 
-    All that ran in the earlier life is over. An order that was under way may
-    yet be carried out, by the later life: it knows nothing of stops before.
-    So what was never listed goes on as a run of the later life, until that
-    lists it or has taken the order to stop it.
+    All that ran in the earlier incarnation is over. A start order in flight
+    may still be carried out by the later incarnation, which knows of no stop
+    taken before. A run that was never listed is therefore kept as a run of the
+    later incarnation until that lists it or has taken the order to stop it.
 
-    :param report: of the later life
-    :return: runs that the later life is to refuse
+    :param report: report of the later incarnation
+    :return: runs that the later incarnation has to refuse
     """
     rows = [*report.running, *report.ended]
     listed = {RunName(row.task, row.attempt) for row in rows}
@@ -429,7 +439,7 @@
         if name not in listed:
             worker.doubtful[name] = None
         if run.phase is ledgers.RunPhase.STOPPING:
-            # The earlier life took that order, if any did.
+            # Only the earlier incarnation may have taken that stop.
             run.stop_answered_s = None
             refused[name] = None
     former.runs.clear()
@@ -438,7 +448,7 @@
 
 
 def note_losses(worker: Worker, now_s: float) -> list[Loss]:
-    """Note which runs a worker takes along that is found to be gone."""
+    """Record which runs are lost with a worker that is gone."""
     gone_s, after_s = now_s, worker.clock_at_s
     if worker.silent_since_s is not None:
         gone_s, after_s = worker.silent_since_s, worker.silent_after_s
@@ -459,7 +469,7 @@
 def lost(
     ledger: ledgers.Ledger, worker: Worker, now_s: float
 ) -> list[ledgers.Task]:
-    """Note that all runs on a worker are over; gives their tasks."""
+    """Record that all runs on a worker are over; return their tasks."""
     tasks = []
     for task in list(worker.runs.values()):
         if task.run is not None and task.run.worker == worker.entry.worker:
@@ -470,21 +480,24 @@
 
 
 def note_no_room(worker: Worker, needs: model.Resources, now_s: float) -> None:
-    """Note that a worker had no room for what should have fitted.
+    """Record that a worker rejected a request that should have fitted.
 
-    Its room has shrunk, and its entry doesn't tell so yet.
+    Its capacity has shrunk, and its entry does not show that yet.
     """
     worker.refused = needs
     worker.refused_until_s = now_s + REFUSED_S
 
 
 def refused(worker: Worker, now_s: float) -> model.Resources | None:
-    """Give the least needs that a worker lately had no room for, if any."""
+    """Return the smallest recently rejected request, if any."""
     return worker.refused if now_s < worker.refused_until_s else None
 
 
 def used(worker: Worker) -> model.Resources:
-    """Give what the runs on a worker take, as far as it counts."""
+    """Return the resources that the runs on a worker use.
+
+    The CPU of runs that use leftover capacity does not count.
+    """
     cpu = memory = gpus = 0
     groups = [task.group for task in worker.runs.values()]
     for group in groups + worker.foreign:
@@ -497,12 +510,12 @@
 
 
 def may_run(worker: Worker, now_s: float) -> bool:
-    """Say whether something may run on a worker, known to us or not."""
+    """Return whether something may run on a worker, known or not."""
     return worker.fenced or now_s <= worker.lease_end_s
 
 
 def accepts(worker: Worker, now_s: float) -> bool:
-    """Say whether a worker may be given new tasks now."""
+    """Return whether a worker may be given new tasks now."""
     return (
         worker.fenced
         and worker.listed
@@ -516,11 +529,11 @@
     )
 
 
-def suspect(worker: Worker) -> bool:
-    """Say whether a worker seems to fail or stall whatever it runs."""
+def is_suspect(worker: Worker) -> bool:
+    """Return whether a worker seems to fail or stall all that it runs."""
     if worker.stalled > 0:
         return True
-    if len(worker.failed_tasks) < FAILURES_IN_A_ROW:
+    if len(worker.failed_tasks) < FAILED_TASKS:
         return False
     jobs = {task.partition('.')[0] for task in worker.failed_tasks}
     return len(jobs) >= FAILED_JOBS
--- a/tests/test_adopted_stalls.py
+++ b/tests/test_adopted_stalls.py
@@ -1,13 +1,11 @@
-"""A run that a new leader has found must count as stalled like any other.
+"""An adopted run has to count as stalled like any other.
 
-What users would see: after a change of the leader a task on a worker that
-stands still is never begun elsewhere; its job waits for good, while the
-worker reports and renews as always. Order of events: a leader starts a task;
-another takes over and adopts the run; the worker's tasks stop getting on.
-
-Cause: which pace an earlier leader gave an adopted run isn't known, and a run
-counts as stalled only at a known pace of 100. Only tasks that use leftovers
-are ever paced, so that of all others the pace stays unknown for good.
+Guards against a job that waits forever after a change of leader: the new
+leader adopts a run, the worker's tasks stop making progress, and the run is
+never restarted elsewhere, while the worker reports and renews normally. The
+pace of an adopted run is unknown, and a run counted as stalled only at a known
+pace of 100. Only tasks that use leftover capacity are ever paced, so for all
+others the pace stayed unknown.
 """
 
 import pytest
@@ -19,7 +17,7 @@
 
 
 @pytest.mark.parametrize('lasting', [False, True])
-def test_adopted_run_that_stands_still_has_stalled(lasting):
+def test_adopted_run_without_progress_has_stalled(lasting):
     step = build.step(guess_ms=1000.0, lasting=lasting)
     ledger = build.ledger_with(build.job(step), term=2, inherited=True)
     task = build.task(ledger)
--- a/tests/test_adopted_standstill.py
+++ b/tests/test_adopted_standstill.py
@@ -1,16 +1,14 @@
-"""A run that a new leader has found at a standstill ends no term.
+"""An adopted run that makes no progress must not end the leader's term.
 
-What users would see: nobody leads, again and again. Each next leader finds the
-run, and ends a second later, until the run moves on. Order of events: a leader
-adopts a run that is at some percent; it stands still, or is as far as is told
-(a gang member that waits for others); 0.4 s later its worker's pace is
-measured by its headway.
+Guards against leaders that fail one after the other, each a second after it
+has found the run, until the run progresses. A leader adopts a run at some
+percentage that stands still, or has reached its last percentage (a gang member
+that waits for others). After 0.4 s its worker's speed is measured.
 
-Cause: an adopted run counts as begun when it was found, and as having got on
-last just then. The whole time that it takes, projected from no time for some
-headway, was nothing, and nothing has no logarithm. Log (seed 3008 of
-``utils_same_day``, term 2 at 8.081): ``leader fault ... math domain error``,
-from ``slowness.measure``.
+An adopted run counts as begun, and as having progressed, when it was found.
+Its projected duration was therefore zero, which has no logarithm. Log (seed
+3008 of ``utils_same_day``, term 2 at 8.081): ``leader fault ... math domain
+error``, from ``slowness.measure``.
 """
 
 from oleanderwood import event_log
@@ -20,7 +18,7 @@
 from tests import utils_same_day
 
 
-def test_pace_of_an_adopted_run_that_stands_still_is_not_known():
+def test_speed_of_an_adopted_run_without_progress_is_unknown():
     step = build.step(guess_ms=1000.0)
     ledger = build.ledger_with(build.job(step), term=2, inherited=True)
     task = build.task(ledger)
@@ -36,7 +34,7 @@
     assert task.run is not None
 
 
-def test_no_leader_ends_by_a_fault_on_the_day_that_showed_it(monkeypatch):
-    # What plays the day sets it for good; other tests want it back.
+def test_leader_survives_the_day_that_showed_the_fault(monkeypatch):
+    # Playing the day replaces emit; restore it for other tests.
     monkeypatch.setattr(event_log, 'emit', event_log.emit)
     assert ' fault ' not in utils_same_day.log(3008)
--- a/tests/test_full_pool.py
+++ b/tests/test_full_pool.py
@@ -1,13 +1,14 @@
-"""Passes over a pool of hundreds of workers in a turn that it can't hold.
-
-What callers saw: jobs that ended late as ends and answers of workers were read
-late. Order of events: 150 steps wait for a pool that is full, something ends
-somewhere up to a hundred times a second, and each time the leader looks for
-room for each step at each worker.
-Half of a leader's processor time went there on an emulated day of this kind.
-The tests count looks. A pass with 150 steps that wait took 9.0 and 9.8 ms of
-processor time with 276 full workers, 24 and 28 ms with 1,000 (two runs on a
-busy machine, means of 20 passes); now 2.7 and 2.9 ms, 5.4 and 5.6 ms.
+"""Passes over a pool of hundreds of workers that a burst has filled.
+
+Guards against job ends that come late because the leader reads workers' ends
+and answers late: 150 steps wait for a full pool, something ends up to a
+hundred times a second, and each time every step is checked against every
+worker. On an emulated day of this kind, half of a leader's CPU time was spent
+there.
+
+The tests count checks. CPU time of a pass with 150 waiting steps (two runs on
+a busy machine, means of 20 passes) fell from 9.0 and 9.8 ms to 2.7 and 2.9 ms
+with 276 full workers, and from 24 and 28 ms to 5.4 and 5.6 ms with 1,000.
 """
 
 import hypothesis
@@ -32,7 +33,7 @@
 
 
 def _full_pool(count):
-    """Build workers on which 500 of 8,000 thousandths of a core are free."""
+    """Build workers with 500 of 8,000 millicores free."""
     ledger = build.ledger_with(
         build.job(build.step(count, cpu=7500), name='f' * 16)
     )
@@ -43,18 +44,18 @@
 
 
 @pytest.mark.parametrize('count', [276, 1000])
-def test_full_pool_is_looked_over_a_few_times_a_pass(monkeypatch, count):
-    looks = []
+def test_full_pool_is_checked_a_few_times_a_pass(monkeypatch, count):
+    checks = []
     fits = placing.fits
 
-    def note(room, group):
-        looks.append(room)
+    def count_check(room, group):
+        checks.append(room)
         return fits(room, group)
 
-    monkeypatch.setattr(placing, 'fits', note)
+    monkeypatch.setattr(placing, 'fits', count_check)
     steps = [build.step(8, cpu=1000 + number) for number in range(150)]
     assert not placing.decide(_waiting(steps), _full_pool(count), 1.0, 200)
-    assert len(looks) <= 3 * count
+    assert len(checks) <= 3 * count
 
 
 STEPS = strategies.builds(
@@ -88,7 +89,7 @@
     assert decide() == looked_everywhere
 
 
-def test_only_the_pools_that_are_asked_for_are_ranked():
+def test_only_requested_pools_are_ranked():
     steps = [build.step(), build.step()]
     jobs = [
         build.job(step, name=f'{number:016x}')
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -15,9 +15,10 @@
 
 
 def test_gang_fails_as_one():
-    # A gang of a job that can't be done was started up to max_attempts times
-    # for each member: another member failed each time, and the failures of
-    # each were counted apart. Seen on calm days with gangs, seeds 4, 5 and 6.
+    # Guards against a gang that cannot succeed and is started up to
+    # max_attempts times for each member: another member failed each time, and
+    # failures were counted per member. Seen on calm days with gangs, seeds 4,
+    # 5 and 6.
     ledger, (first, second) = _gang()
     entry = first.group.entry
     ledgers.mark_failed(ledger, first, 'w1', 1, 2, 1.0)
@@ -33,11 +34,11 @@
     assert not ledgers.final(first.group.entry)
 
 
-def test_members_go_on_from_the_same_saved_work():
-    # Each member was told what it had saved last itself. Values of one
-    # attempt must be the same, else the members don't work together: each
-    # waited for the others until it ended alone, again and again. Seen on
-    # days with gangs that save their work, seed 22 with four troubles.
+def test_members_resume_from_the_same_checkpoint():
+    # Each member was started from its own last checkpoint. Members of one
+    # attempt have to start from the same one to work together: each waited
+    # for the others until it ended alone, again and again. Seen on days with
+    # gangs that write checkpoints, seed 22 with four faults.
     ledger, (first, second) = _gang(checkpoints=True)
     workers = [build.worker('w1'), build.worker('w2')]
     for task, worker in zip((first, second), workers, strict=True):
@@ -50,16 +51,16 @@
         ledgers.begin(ledger, task, worker.entry.worker, 4.0, 2)
         for task, worker in zip((first, second), workers, strict=True)
     ]
-    # An end of an earlier run that is listed late must not part them.
+    # An end of an earlier run that is listed late must not change that.
     ended = (1, second.name, 1, reports.How.LAPSED, 'c0')
     build.take(ledger, workers[1], build.report([(second.name, 2)], [ended]))
     assert [run.checkpoint for run in runs] == ['c1', 'c1']
 
 
-def test_rest_of_a_gang_that_can_not_become_whole_is_taken_back():
-    # One member's start was refused or lost; the others held their room for
-    # 3 s until they ended alone. On 60 days with five troubles 16 members
-    # ended so.
+def test_members_of_an_incomplete_gang_are_stopped():
+    # When one member's start was refused or lost, the others kept their
+    # resources for 3 s until they ended alone: 16 members on 60 days with
+    # five faults.
     ledger, (first, second) = _gang()
     group = first.group
     worker = build.worker()
@@ -73,7 +74,7 @@
     assert not placing.parted([group], 9.0)
 
 
-def test_plain_tasks_are_no_parted_gang():
+def test_tasks_of_an_ordinary_step_are_no_incomplete_gang():
     ledger = build.ledger_with(build.job(build.step(2)))
     build.start(ledger, build.task(ledger), build.worker())
     assert not placing.parted([build.task(ledger).group], 9.0)
--- a/tests/test_held_back.py
+++ b/tests/test_held_back.py
@@ -1,4 +1,4 @@
-"""Runs that use leftovers and stand still beside others."""
+"""Tests of leftover runs that are starved by other tasks on their worker."""
 
 from oleanderwood.capacity import demand
 from oleanderwood.capacity import rebalancing
@@ -6,21 +6,27 @@
 from oleanderwood.pools import held_back
 from tests import utils_jobs as build
 
-WHOLE_S = 1.0
-"""What a task takes."""
+TASK_S = 1.0
+"""Duration of a task in seconds."""
 
 NOW_S = 1.0 + 2 * held_back.WINDOW_S
 
 
 def _length_s(_task):
-    return WHOLE_S
+    return TASK_S
 
 
-def _beside(serving=True, percent=10.0, **fields):
-    """Build a worker with a run that has got on in its window or hasn't."""
-    first = build.step(lasting=True, latency_target_ms=100.0 * serving)
-    using = build.step(uses_leftover=True, **fields)
-    ledger = build.ledger_with(build.job(first, using))
+def _next_to_long_running_task(with_target=True, percent=10.0, **fields):
+    """Build a worker with a long-running task and a leftover run.
+
+    :param with_target: the long-running task has a latency target
+    :param percent: progress of the leftover run within its window
+    """
+    long_running = build.step(
+        lasting=True, latency_target_ms=100.0 * with_target
+    )
+    leftover = build.step(uses_leftover=True, **fields)
+    ledger = build.ledger_with(build.job(long_running, leftover))
     worker = build.worker()
     build.start(ledger, build.task(ledger, 0), worker)
     run = build.start(ledger, build.task(ledger, 1), worker)
@@ -33,34 +39,34 @@
     return held_back.measure(worker, _length_s, now_s)
 
 
-def test_run_without_headway_beside_a_serving_task_is_held_back():
-    _ledger, worker = _beside()
+def test_run_without_progress_next_to_a_latency_task_is_starved():
+    _ledger, worker = _next_to_long_running_task()
     rows = _measured(worker)
     assert [row.task.group.number for row in rows] == [1]
     assert rows[0].left_s == 90.0
 
 
-def test_nothing_is_told_within_the_window():
-    _ledger, worker = _beside(percent=0.0)
+def test_nothing_is_starved_within_the_window():
+    _ledger, worker = _next_to_long_running_task(percent=0.0)
     assert _measured(worker, 1.0 + held_back.WINDOW_S / 2) == []
 
 
-def test_run_that_gets_on_is_not_held_back():
-    _ledger, worker = _beside(percent=95.0)
+def test_run_that_progresses_is_not_starved():
+    _ledger, worker = _next_to_long_running_task(percent=95.0)
     assert _measured(worker) == []
 
 
-def test_slow_run_where_nothing_serves_is_left_alone():
-    """Whatever makes it slow there isn't found elsewhere either."""
-    _ledger, worker = _beside(serving=False)
+def test_slow_run_without_contention_is_not_starved():
+    """Without contention, another worker would not make the run faster."""
+    _ledger, worker = _next_to_long_running_task(with_target=False)
     assert _measured(worker) == []
 
 
-def test_run_without_any_processor_time_is_held_back():
-    """Tasks that last have taken all of it."""
-    whole = build.step(lasting=True, cpu=8000)
+def test_run_without_any_cpu_is_starved():
+    """Long-running tasks use all of the worker's CPU."""
+    long_running = build.step(lasting=True, cpu=8000)
     ledger = build.ledger_with(
-        build.job(whole, build.step(uses_leftover=True))
+        build.job(long_running, build.step(uses_leftover=True))
     )
     worker = build.worker()
     for number in (0, 1):
@@ -69,26 +75,26 @@
     assert [row.left_s for row in _measured(worker)] == [float('inf')]
 
 
-def test_it_leaves_for_a_worker_where_nothing_serves():
-    _ledger, worker = _beside()
+def test_starved_run_moves_to_a_worker_without_latency_targets():
+    _ledger, worker = _next_to_long_running_task()
     rows = _measured(worker)
-    serving = _beside()[1]
-    assert held_back.to_leave(rows, [serving], NOW_S) == []
-    leaving = held_back.to_leave(rows, [serving, build.worker('w2')], NOW_S)
+    busy = _next_to_long_running_task()[1]
+    assert held_back.to_leave(rows, [busy], NOW_S) == []
+    leaving = held_back.to_leave(rows, [busy, build.worker('w2')], NOW_S)
     assert leaving == [rows[0].task]
 
 
-def test_it_leaves_so_many_times_at_most():
-    _ledger, worker = _beside()
+def test_task_is_relocated_a_limited_number_of_times():
+    _ledger, worker = _next_to_long_running_task()
     rows = _measured(worker)
-    rows[0].task.relocated = held_back.MOST_RELOCATIONS
+    rows[0].task.relocated = held_back.MAX_RELOCATIONS
     assert held_back.to_leave(rows, [build.worker('w2')], NOW_S) == []
 
 
-def test_gang_leaves_whole_or_not_at_all():
-    serving = build.step(lasting=True, latency_target_ms=100.0)
+def test_gang_is_relocated_whole_or_not_at_all():
+    latency_step = build.step(lasting=True, latency_target_ms=100.0)
     gang = build.step(2, uses_leftover=True, gang=True, mem=600)
-    ledger = build.ledger_with(build.job(serving, gang))
+    ledger = build.ledger_with(build.job(latency_step, gang))
     worker = build.worker()
     build.start(ledger, build.task(ledger, 0), worker)
     for index in (0, 1):
@@ -132,7 +138,7 @@
 
 
 def test_two_pools_exchange_the_kinds_that_they_lack():
-    """Each had kept what the other one waited for."""
+    """Each pool had kept the kind that the other one waited for."""
     other = ids.ServiceId('finals')
     pools = []
     for service, label, lacked in (
--- a/tests/test_late_orders.py
+++ b/tests/test_late_orders.py
@@ -1,11 +1,11 @@
-"""Late orders are refused by next lives that no leader reaches.
-
-What callers saw: tasks that ran again though they were done (lab seeds 91466
-and 91469). Order of events: an order gets no answer; its executor starts again
-under its id; the leader is suspended, dead or waits for other calls, and
-nobody else can lead as the store is away; the order is carried out. Cause: the
-first call that reaches a next life decides, and only a leader made any, one
-after the other. Evidence: the answers to the late orders, 200 before.
+"""Late orders are refused by incarnations that no leader reaches.
+
+Guards against tasks that run again although they are done (lab seeds 91466 and
+91469). An order gets no answer, its executor restarts under its id, and the
+order is then carried out while the leader is suspended, dead or waiting for
+other calls, and the store is down, so nobody else can take over. The first
+call that reaches the next incarnation sets its fence, and only the leader made
+such calls, one after the other: the late orders were answered with 200.
 """
 
 import curio
@@ -35,17 +35,17 @@
         scene.network.cuts.add((leader.name, machine.address))
 
 
-@pytest.mark.parametrize('strike', [_kill, _suspend, _cut_off])
-def test_late_order_is_refused_by_a_life_that_no_leader_reaches(strike):
+@pytest.mark.parametrize('fault', [_kill, _suspend, _cut_off])
+def test_late_order_is_refused_by_an_incarnation_no_leader_reaches(fault):
     outcomes = []
 
-    async def story(scene):
+    async def scenario(scene):
         late = utils_restarts.make_one_late(scene, LATE_S)
         leader = build.leader(scene)
         await build.hand_in(scene, leader, build.step(1, 16000, 1000))
         await curio.sleep(LATE_S - 2.0)
         scene.store.down = 'silent'
-        await strike(scene, leader)
+        await fault(scene, leader)
         await curio.sleep(1.0)
         await utils_restarts.restart(scene, late[0], 0.5)
         outcomes.extend([utils_restarts.note_late(scene, late[0])])
@@ -53,15 +53,15 @@
         scene.store.down = ''
         scene.network.cuts.clear()
 
-    result = utils_restarts.play(story)
+    result = utils_restarts.play(scenario)
     assert outcomes == [['fence']]
     assert not result.breaches and not result.unfinished
 
 
-def test_nobody_asks_executors_that_tell_no_birth():
+def test_executors_without_birth_times_are_not_called():
     books = []
 
-    async def story(scene):
+    async def scenario(scene):
         utils_restarts.make_one_late(scene, LATE_S)
         await build.hand_in(
             scene, build.leader(scene), build.step(1, 16000, 1000)
@@ -69,12 +69,12 @@
         await curio.sleep(1.5)
         books.extend(row.state.unanswered for row in scene.processes)
 
-    build.play(story)
+    build.play(scenario)
     assert books
     assert not any(book.orders for book in books)
 
 
-def _order(number, fence=1, for_s=late_orders.LATE_S):
+def _order(number, fence=1, for_s=late_orders.MAX_DELAY_S):
     name = ids.ExecutorId(f'i-{number}')
     address = ids.Address(f'10.0.0.{number}:1')
     return late_orders.LateOrder(name, address, ids.Fence(fence), for_s)
@@ -83,14 +83,14 @@
 @hypothesis.given(
     strategies.lists(
         strategies.tuples(
-            strategies.integers(1, 2 * late_orders.MOST),
+            strategies.integers(1, 2 * late_orders.MAX_EXECUTORS),
             strategies.integers(1, 5),
-            strategies.floats(0.0, 2 * late_orders.LATE_S),
+            strategies.floats(0.0, 2 * late_orders.MAX_DELAY_S),
         ),
         max_size=60,
     )
 )
-def test_book_keeps_the_latest_with_their_highest_fences(steps):
+def test_latest_orders_are_kept_with_their_highest_fences(steps):
     book = late_orders.Book()
     now_s = 0.0
     fences: dict[str, int] = {}
@@ -101,21 +101,21 @@
             fences.pop(order.executor, None)
         fences[order.executor] = max(fence, fences.get(order.executor, 0))
         late_orders.take(book, order, now_s)
-        assert len(book.orders) <= late_orders.MOST
+        assert len(book.orders) <= late_orders.MAX_EXECUTORS
         assert book.orders.keys() == book.until_s.keys()
         for known in book.orders.values():
             assert known.fence == fences[known.executor]
         longest_s = max(book.until_s.values(), default=0.0)
-        assert longest_s <= now_s + late_orders.LATE_S
-    assert not late_orders.due(book, now_s + late_orders.LATE_S)
+        assert longest_s <= now_s + late_orders.MAX_DELAY_S
+    assert not late_orders.due(book, now_s + late_orders.MAX_DELAY_S)
 
 
-def test_executor_is_asked_until_its_order_can_come_no_more():
+def test_executor_is_called_until_its_order_can_no_longer_arrive():
     book = late_orders.Book()
     late_orders.take(book, _order(1), 0.0)
     late_orders.take(book, _order(2), 5.0)
-    assert len(late_orders.due(book, late_orders.LATE_S - 0.1)) == 2
-    (left,) = late_orders.due(book, late_orders.LATE_S)
+    assert len(late_orders.due(book, late_orders.MAX_DELAY_S - 0.1)) == 2
+    (left,) = late_orders.due(book, late_orders.MAX_DELAY_S)
     assert left.executor == 'i-2'
     late_orders.drop(book, left.executor)
-    assert not late_orders.due(book, late_orders.LATE_S)
+    assert not late_orders.due(book, late_orders.MAX_DELAY_S)
--- a/tests/test_lengths.py
+++ b/tests/test_lengths.py
@@ -1,4 +1,4 @@
-"""Tests of how long tasks really take."""
+"""Tests of how expected durations of tasks are learned."""
 
 import math
 import random
@@ -7,17 +7,17 @@
 from tests import utils_jobs as build
 
 
-def _note(lengths, guess_s, real_s):
-    step = build.step(guess_ms=guess_s * 1000)
+def _note(lengths, estimate_s, real_s):
+    step = build.step(guess_ms=estimate_s * 1000)
     ledger = build.ledger_with(build.job(step))
     lengths_.note(lengths, build.task(ledger).group, real_s)
 
 
-def test_unknown_queue_is_taken_at_its_word():
+def test_estimates_of_an_unknown_queue_are_not_corrected():
     assert lengths_.factor(lengths_.Lengths(), 'q') == 1.0
 
 
-def test_guesses_that_are_off_either_way_are_right_in_all():
+def test_errors_in_both_directions_cancel_out():
     rng = random.Random(1)
     factors = []
     for _ in range(20):
@@ -29,44 +29,47 @@
     assert 0.8 < sum(factors) / len(factors) < 1.25
 
 
-def test_guesses_that_are_too_short_throughout_are_stretched():
+def test_estimates_that_are_always_too_short_are_scaled_up():
     lengths = lengths_.Lengths()
     for _ in range(100):
         _note(lengths, 1.0, 2.0)
     assert 1.9 < lengths_.factor(lengths, 'q') <= 2.0
 
 
-def _learned(rng, slope, spread=0.3, tasks=300):
-    """Learn from guesses that are wrong, but for a part of their logarithm."""
+def _fitted(rng, slope, spread=0.3, tasks=300):
+    """Learn from estimates whose error is log-normal.
+
+    :param slope: slope of the actual durations over the estimates
+    """
     lengths = lengths_.Lengths()
     for _ in range(tasks):
-        off = rng.gauss(0.0, 0.9)
-        real_s = math.exp(slope * off + rng.gauss(0.0, spread))
-        _note(lengths, math.exp(off), real_s)
+        deviation = rng.gauss(0.0, 0.9)
+        real_s = math.exp(slope * deviation + rng.gauss(0.0, spread))
+        _note(lengths, math.exp(deviation), real_s)
     return lengths
 
 
-def test_guess_that_stands_out_is_believed_in_part():
-    lengths = _learned(random.Random(2), slope=0.2)
+def test_unusual_estimate_is_corrected_towards_the_mean():
+    lengths = _fitted(random.Random(2), slope=0.2)
     long_s = lengths_.expected_s(lengths, 'q', 4.0)
     short_s = lengths_.expected_s(lengths, 'q', 0.25)
     assert 1.1 < long_s < 1.7
     assert 0.6 < short_s < 0.9
 
 
-def test_guesses_that_are_right_are_believed():
-    lengths = _learned(random.Random(3), slope=1.0, spread=0.1)
+def test_accurate_estimates_are_hardly_corrected():
+    lengths = _fitted(random.Random(3), slope=1.0, spread=0.1)
     assert 3.0 < lengths_.expected_s(lengths, 'q', 4.0) < 4.2
 
 
-def test_guess_is_taken_as_it_is_until_something_is_known():
+def test_estimate_is_not_corrected_before_enough_tasks():
     lengths = lengths_.Lengths()
     for _ in range(5):
         _note(lengths, 1.0, 3.0)
     assert lengths_.expected_s(lengths, 'q', 2.0) == 2.0
 
 
-def test_known_jobs_are_expected_anew_as_more_is_learned():
+def test_expected_durations_of_known_jobs_are_recomputed():
     lengths = lengths_.Lengths()
     ledger = build.ledger_with(build.job(build.step(guess_ms=2000.0)))
     entry = ledger.entries[build.JOB]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""What callers get of a turn that their pool can't hold."""
+"""Tests of what callers get of a burst larger than their pool."""
 
 import statistics
 
@@ -12,9 +12,9 @@
 
 
 def _play(machines=6):
-    """Play turns that ask for nearly twice what the pool holds."""
+    """Play bursts of nearly twice what the pool can hold."""
     return [
-        overload.play(overload.Turn(seed, machines), lengths.Lengths())
+        overload.play(overload.Burst(seed, machines), lengths.Lengths())
         for seed in SEEDS
     ]
 
@@ -33,24 +33,22 @@
 
 
 @pytest.fixture
-def until_the_edge(monkeypatch):
-    """Begin jobs until the last moment."""
+def without_margin(monkeypatch):
+    """Play with jobs started until the last moment."""
     monkeypatch.setattr(placing, 'LATENESS_MARGIN', 1.0)
     return _play()
 
 
-def test_more_jobs_are_in_time_than_begun_until_the_edge(
-    played, until_the_edge
-):
-    # 0.56 before, 0.60 now.
-    assert _share(until_the_edge) < 0.57
+def test_margin_brings_more_jobs_in_time(played, without_margin):
+    # 0.56 without the margin, 0.60 with it.
+    assert _share(without_margin) < 0.57
     assert _share(played) > 0.59
 
 
 def test_largest_jobs_are_served_more_than_half_as_often_as_all(played):
-    # Below half of the share of all, a user counts a day as failed.
+    # Below half of the share of all jobs, a user counts a day as failed.
     assert _share_of_largest(played) > 0.5 * _share(played)
 
 
-def test_nobody_is_late_while_there_is_room():
+def test_no_job_is_late_while_capacity_is_free():
     assert _share(_play(machines=16)) > 0.99
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""Tests of paces, stalled runs, and steps that wait for advice."""
+"""Tests of paces, stalled runs and steps that wait for advice."""
 
 from oleanderwood.jobs import ledger as ledgers
 from oleanderwood.pools import lengths
@@ -8,11 +8,11 @@
 from tests import utils_jobs as build
 
 
-def _beside(latency_ms, percent=100):
-    """Build a worker with a serving task and one that uses leftovers."""
-    serving = build.step(lasting=True, latency_target_ms=100.0)
-    using = build.step(uses_leftover=True)
-    ledger = build.ledger_with(build.job(serving, using))
+def _next_to_latency_task(latency_ms, percent=100):
+    """Build a worker with a latency-sensitive and a leftover task."""
+    latency_step = build.step(lasting=True, latency_target_ms=100.0)
+    leftover = build.step(uses_leftover=True)
+    ledger = build.ledger_with(build.job(latency_step, leftover))
     worker = build.worker()
     run = build.start(ledger, build.task(ledger, 0), worker)
     run.latency_or_cpu = latency_ms
@@ -25,26 +25,26 @@
 
 
 def test_pace_falls_before_the_target_is_reached():
-    assert _paces(_beside(85.0)) == [50]
-    assert _paces(_beside(85.0, percent=15)) == [0]
-    assert _paces(_beside(96.0)) == [0]
+    assert _paces(_next_to_latency_task(85.0)) == [50]
+    assert _paces(_next_to_latency_task(85.0, percent=15)) == [0]
+    assert _paces(_next_to_latency_task(96.0)) == [0]
 
 
 def test_pace_rises_again_in_steps():
-    assert _paces(_beside(40.0, percent=0)) == [20]
-    assert _paces(_beside(40.0, percent=100)) == []
-    assert _paces(_beside(70.0, percent=50)) == []
+    assert _paces(_next_to_latency_task(40.0, percent=0)) == [20]
+    assert _paces(_next_to_latency_task(40.0, percent=100)) == []
+    assert _paces(_next_to_latency_task(70.0, percent=50)) == []
 
 
-def test_nothing_is_paced_where_nothing_serves():
+def test_no_pace_without_latency_targets():
     ledger = build.ledger_with(build.job(build.step(uses_leftover=True)))
     worker = build.worker()
     build.start(ledger, build.task(ledger), worker)
     assert _paces(worker) == []
 
 
-def test_leftover_task_starts_where_nothing_serves_if_it_can():
-    busy = _beside(10.0)
+def test_leftover_task_prefers_a_worker_without_latency_targets():
+    busy = _next_to_latency_task(10.0)
     ledger = build.ledger_with(build.job(build.step(uses_leftover=True)))
     ready = placing.by_service(
         ledger, {'q': build.queue()}, lengths.Lengths(), 0.0, 1.0
@@ -62,39 +62,39 @@
     return worker, run
 
 
-def test_run_without_headway_has_stalled():
+def test_run_without_progress_has_stalled():
     worker, _run = _run_since(10.0)
     assert not stalls.stalled(worker, 12.5)
     assert len(stalls.stalled(worker, 13.5)) == 1
 
 
-def test_long_task_may_stand_longer():
+def test_long_task_may_make_no_progress_for_longer():
     worker, _run = _run_since(10.0, guess_ms=20_000.0)
     assert not stalls.stalled(worker, 19.0)
     assert stalls.stalled(worker, 21.0)
 
 
-def test_task_that_is_held_back_by_us_has_not_stalled():
+def test_paced_task_has_not_stalled():
     worker, run = _run_since(10.0)
     run.pace_percent = 0
     assert not stalls.stalled(worker, 30.0)
 
 
-def test_serving_task_at_work_never_stalls():
+def test_long_running_task_at_work_never_stalls():
     worker, run = _run_since(10.0, lasting=True)
     assert stalls.stalled(worker, 17.0)
     run.at_work_since_s = 11.0
     assert not stalls.stalled(worker, 99.0)
 
 
-def _advised_world():
+def _advised_setup():
     ledger = build.ledger_with(build.job(build.step(2)))
     queues = {'q': build.queue(needs_advice=True)}
     return ledger, queues, ledger.entries[build.JOB].groups[0, 0]
 
 
-def test_step_waits_for_advice_and_goes_where_it_may():
-    ledger, queues, group = _advised_world()
+def test_step_waits_for_advice_and_starts_on_an_advised_worker():
+    ledger, queues, group = _advised_setup()
     assert not placing.by_service(ledger, queues, lengths.Lengths(), 0.0, 1.0)
     group.tickets = {'w2': 'ticket'}
     group.advised_until_s = 5.0
@@ -105,17 +105,17 @@
 
 
 def test_expired_advice_is_not_used():
-    ledger, queues, group = _advised_world()
+    ledger, queues, group = _advised_setup()
     group.tickets = {'w1': 'ticket'}
     group.advised_until_s = 0.5
     assert not placing.by_service(ledger, queues, lengths.Lengths(), 0.0, 1.0)
     assert group.waiting and not ledgers.final(group.entry)
 
 
-def test_advice_is_asked_for_anew_when_none_of_the_good_workers_is_left():
-    # Tickets last for seconds. A step whose only good worker was gone waited
-    # for its tickets to expire.
-    _ledger, _queues, group = _advised_world()
+def test_advice_is_requested_again_when_no_advised_worker_is_left():
+    # Guards against a step that waits for its tickets to expire, which takes
+    # seconds, although its only advised worker is gone.
+    _ledger, _queues, group = _advised_setup()
     assert placing.lacks_advice(group, {'w1'}, 1.0)
     group.tickets = {'w1': 'ticket'}
     group.advised_until_s = 5.0
@@ -126,8 +126,8 @@
     assert not placing.lacks_advice(group, {'w2'}, 1.0)
 
 
-def _using(percent):
-    """Build a worker with a task that uses leftovers, beside none."""
+def _leftover_run(percent):
+    """Build a worker that runs only a task that uses leftover capacity."""
     ledger = build.ledger_with(build.job(build.step(uses_leftover=True)))
     worker = build.worker()
     run = build.start(ledger, build.task(ledger), worker)
@@ -135,18 +135,18 @@
     return ledger, worker, run
 
 
-def test_pace_is_given_back_once_nothing_serves_there():
-    # A serving task was cancelled or went elsewhere, and what had been held
-    # back for it stood still for good: 0 percent of its speed, and never
-    # taken for stalled.
-    _ledger, worker, _run = _using(0)
+def test_pace_is_restored_once_no_latency_task_is_left():
+    # Guards against a leftover task that stays at a pace of 0 after the
+    # latency-sensitive task was cancelled or relocated; at that pace it is
+    # never taken for stalled.
+    _ledger, worker, _run = _leftover_run(0)
     assert _paces(worker) == [100]
 
 
-def test_pace_that_an_earlier_leader_gave_is_given_anew():
-    # A later leader can't know the pace of what it adopts. It took it for
-    # 100 percent, and so never raised what stood at 0.
-    ledger, worker, _run = _using(0)
+def test_unknown_pace_of_an_adopted_run_is_set_again():
+    # A new leader does not know the pace of an adopted run. It assumed 100
+    # percent, and so never raised a pace of 0.
+    ledger, worker, _run = _leftover_run(0)
     task = build.task(ledger)
     ledgers.over(ledger, task, 2.0)
     run = ledgers.adopt(ledger, task, 'w1', 1, 3.0)
@@ -155,16 +155,18 @@
     assert _paces(worker) == []
 
 
-def test_nothing_stands_still_for_good_beside_a_moderate_latency():
-    # Between the two bounds a pace of nothing was neither raised nor told
-    # from a good one; the latency was that of the serving task alone.
-    assert _paces(_beside(70.0, percent=0)) == [pacing.LEAST_PERCENT]
-    assert _paces(_beside(82.0, percent=0)) == []
+def test_stopped_run_resumes_at_a_moderate_latency():
+    # Guards against a pace of 0 that is never raised while the latency stays
+    # between the two bounds: the task that was stopped has no part in it.
+    assert _paces(_next_to_latency_task(70.0, percent=0)) == [
+        pacing.MIN_PERCENT
+    ]
+    assert _paces(_next_to_latency_task(82.0, percent=0)) == []
 
 
-def test_leftover_tasks_go_where_something_is_left():
-    # All went to the fullest worker, where they got a tenth of what they
-    # asked for, while others idled.
+def test_leftover_tasks_spread_over_idle_workers():
+    # Guards against all tasks going to the fullest worker, where they got a
+    # tenth of the CPU that they requested, while other workers were idle.
     step = build.step(4, cpu=4000, uses_leftover=True)
     ledger = build.ledger_with(build.job(step))
     ready = placing.by_service(
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -31,7 +31,7 @@
     assert len(_decide(ledger, [worker])) == 1
 
 
-def test_worker_that_leaves_or_is_silent_gets_nothing():
+def test_unavailable_workers_get_nothing():
     ledger = build.ledger_with(build.job())
     silent = build.worker('w2')
     silent.silent_since_s = 0.5
@@ -60,7 +60,7 @@
     assert len(_decide(ledger, [fitting])) == 1
 
 
-def test_data_is_met_where_it_lies():
+def test_step_is_placed_near_its_data():
     ledger = build.ledger_with(build.job(build.step(near_rack='r2')))
     pool = [build.worker('w1'), build.worker('w2', labels=('a', 'r2'))]
     assert _decide(ledger, pool)[0].worker is pool[1]
@@ -94,7 +94,7 @@
     }
 
 
-def test_late_jobs_give_way_to_those_that_can_be_in_time():
+def test_jobs_that_can_be_in_time_go_before_late_ones():
     late = build.job(build.step(8), name='1' * 16)
     fresh = build.job(build.step(8), name='2' * 16)
     ledger = ledgers.Ledger()
@@ -104,9 +104,9 @@
     assert {row.task.group.entry.job.job for row in decided} == {'2' * 16}
 
 
-def test_job_that_would_begin_too_late_to_end_in_time_gives_way():
-    # One second of work; the objective is 2.2 s, and a quarter of the work is
-    # kept in hand.
+def test_job_that_would_start_too_late_to_end_in_time_goes_last():
+    # One second of work; the objective is 2.2 s, and the margin is a quarter
+    # of the work.
     old = build.job(build.step(8), name='1' * 16)
     fresh = build.job(build.step(8), name='2' * 16)
     ledger = ledgers.Ledger()
@@ -158,9 +158,9 @@
     return worker
 
 
-def test_suspect_worker_with_serving_tasks_is_tried_with_one_more():
-    # Once, all workers of a pool were suspect and each served something: no
-    # batch task was started there any more.
+def test_suspect_worker_with_long_running_tasks_gets_one_more_task():
+    # Guards against a pool whose workers are all suspect and all run
+    # long-running tasks: no batch task was started there any more.
     worker = _suspect('w1')
     ledger = build.ledger_with(
         build.job(build.step(lasting=True), name='1' * 16),
@@ -181,4 +181,4 @@
     ]
     build.take(ledger, worker, build.report(ended=ends))
     assert len(worker.failed_tasks) == 6
-    assert not workers_.suspect(worker)
+    assert not workers_.is_suspect(worker)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tests of what teams may take at once."""
+"""Tests of the quotas of teams."""
 
 from oleanderwood.jobs import model
 from oleanderwood.policy import model as policies
@@ -34,7 +34,7 @@
     assert len(_decide(ledger, [worker])) == 2
 
 
-def test_other_teams_get_the_room():
+def test_other_teams_get_the_capacity():
     ledger = build.ledger_with(
         _job('1' * 16, 6), _job('2' * 16, 4, queue='other')
     )
@@ -48,7 +48,7 @@
     assert len(_decide(ledger, [build.worker()])) == 6
 
 
-def test_without_a_policy_nothing_is_held_back():
+def test_without_a_policy_nothing_is_limited():
     ledger = build.ledger_with(_job('1' * 16, 6))
     decided = _decide(ledger, [build.worker()], policies.Policy())
     assert len(decided) == 6
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Whose waiting work goes first where a pool is full."""
+"""Tests of the order of tenants' work where a pool is full."""
 
 import collections
 
@@ -20,7 +20,7 @@
 
 
 def _ledger(rows):
-    """Build jobs of one task, in order of arrival, by tenant."""
+    """Build one job of one task for each tenant given, in order of arrival."""
     jobs = [
         msgspec.structs.replace(
             build.job(build.step(1), name=f'{number:016x}'), tenant=tenant
@@ -47,17 +47,17 @@
 
 
 def test_small_tenant_does_not_wait_behind_a_flood():
-    """By arrival it would come 101st."""
+    """In order of arrival its job would be the 101st."""
     order = _order(_ledger([LARGE] * 100 + [SMALL]))
     assert order.index(SMALL) <= 1
 
 
-def test_room_goes_by_weight_where_both_wait():
+def test_capacity_is_shared_by_weight_where_both_wait():
     order = _order(_ledger([LARGE] * 40 + [SMALL] * 40))
     assert collections.Counter(order[:16]) == {LARGE: 12, SMALL: 4}
 
 
-def test_what_runs_elsewhere_counts():
+def test_runs_in_other_pools_count():
     ledger = _ledger([SMALL] * 4 + [LARGE] * 3 + [SMALL] * 3)
     other = build.worker('w2', service=ids.ServiceId('another'))
     for number in range(4):
@@ -66,7 +66,7 @@
     assert _order(ledger, [other])[:3] == [LARGE] * 3
 
 
-def test_tenant_alone_gets_all_that_is_free():
+def test_only_tenant_gets_all_free_capacity():
     ledger = _ledger([LARGE] * 8)
     ready = placing.by_service(
         ledger, {'q': build.queue()}, lengths.Lengths(), 0.0, 1.0
@@ -87,7 +87,7 @@
         assert rows == [row for row in groups if row in rows]
 
 
-def test_urgent_jobs_go_first_whoever_sends_them():
+def test_urgent_jobs_go_first_for_any_tenant():
     ledger = _ledger([SMALL] * 3 + [LARGE] * 3)
     for number, entry in enumerate(ledger.entries.values()):
         queue = build.queue(name='urgent' if number >= 3 else 'q', priority=0)
@@ -99,14 +99,14 @@
     assert _order(ledger, known=known)[:3] == [LARGE] * 3
 
 
-def test_what_is_sent_beyond_the_weight_comes_last():
+def test_jobs_beyond_the_rate_come_last():
     ledger = _ledger([LARGE] * 5 + [SMALL])
     for number, entry in enumerate(ledger.entries.values()):
         entry.beyond = number < 5
     assert _order(ledger)[0] == SMALL
 
 
-def test_jobs_beyond_the_weight_are_counted_by_the_second():
+def test_rate_is_counted_by_the_second():
     arrivals_s = collections.deque()
     seen = [shares.is_beyond(arrivals_s, 3.0, at_s * 0.1) for at_s in range(5)]
     assert seen == [False, False, False, True, True]
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -24,7 +24,7 @@
     assert not _fits_nowhere(group, [*pool, build.worker('w3')])
 
 
-def test_what_will_end_takes_no_room():
+def test_tasks_that_will_end_use_no_resources():
     group = _group(build.step(2, cpu=5000, gang=True))
     pool = [build.worker('w1'), build.worker('w2')]
     busy = build.ledger_with(build.job(build.step(cpu=8000), name='1' * 16))
@@ -32,12 +32,12 @@
     assert not _fits_nowhere(group, pool)
 
 
-def test_what_lasts_does():
+def test_long_running_tasks_use_resources():
     group = _group(build.step(2, cpu=5000, gang=True))
     pool = [build.worker('w1'), build.worker('w2')]
     step = build.step(cpu=4000, lasting=True)
-    lasting = build.ledger_with(build.job(step, name='1' * 16))
-    build.start(lasting, build.task(lasting, name='1' * 16), pool[0])
+    long_running = build.ledger_with(build.job(step, name='1' * 16))
+    build.start(long_running, build.task(long_running, name='1' * 16), pool[0])
     assert _fits_nowhere(group, pool)
 
 
@@ -82,16 +82,17 @@
     assert shortage.could_hold(step, (), model.Resources(1000, 2500)) == 0
 
 
-def test_question_takes_no_room():
+def test_check_uses_no_resources():
     group = _group(build.step(2, cpu=5000, gang=True))
-    rooms = shortage.idle_rooms([build.worker('w1'), build.worker('w2')])
-    assert not shortage.fits_nowhere(group, rooms)
-    assert not shortage.fits_nowhere(group, rooms)
+    candidates = shortage.idle_rooms([build.worker('w1'), build.worker('w2')])
+    assert not shortage.fits_nowhere(group, candidates)
+    assert not shortage.fits_nowhere(group, candidates)
 
 
 def test_pool_gets_one_machine_more_while_a_step_fits_nowhere():
-    # A gang or a job for another kind of machine waited for good once its
-    # pool had sent the machines to standby: by cores, it lacked none.
+    # Guards against a gang or a job for another kind of machine that waits
+    # forever once its pool has released the machines: counted by cores, the
+    # pool lacked none.
     here = rebalancing.Member('m1', 8.0, build.worker('w1'))
     assert [move.machine for move in _decide(here)] == ['m9']
     coming = rebalancing.Member('m2', 8.0, None)
--- a/tests/test_slow_gang_member.py
+++ b/tests/test_slow_gang_member.py
@@ -1,9 +1,9 @@
-"""A gang's member that is done with its part and waits for the others.
+"""A gang member that has finished its part waits for the others.
 
-What callers see: a job that never ends. Order of events: the members of a gang
-run at different speeds; the fastest stands at 99% until the others have come
-so far. After 3 s it is taken for stalled and stopped, which breaks the whole
-gang; all begin anew, and so on.
+Guards against a job that never ends: the members of a gang run at different
+speeds, and the fastest one waits at 99% for the others. After 3 s it counted
+as stalled and was stopped, which ended the whole gang; all members started
+again, and so on.
 
 Log (lab seed 41143 with `--feature-count 4 --trouble-count 7`): `run stalled
 task=620c14cc42e8b77f.0.0.5 percent=99.0`, then `broken` for the five others,
@@ -29,6 +29,6 @@
     assert stalls.stalled(second, 10.0) == []
 
 
-def test_gang_that_stands_still_as_a_whole_has_stalled():
+def test_gang_without_any_progress_has_stalled():
     first, _second = _gang([1.0, 2.0])
     assert len(stalls.stalled(first, 10.0)) == 1
--- a/tests/test_slowness.py
+++ b/tests/test_slowness.py
@@ -1,4 +1,4 @@
-"""Tests of workers that are slow against their pool."""
+"""Tests of workers that are slow compared with their pool."""
 
 from emulator import day
 from emulator import troubles
@@ -12,7 +12,7 @@
 
 
 def _running(worker, percents, now_s=2.0, guess_ms=1000.0):
-    """Let runs begun a second ago be so far."""
+    """Start runs a second before ``now_s``, with the given progress."""
     step = build.step(guess_ms=guess_ms)
     ledger = build.ledger_with(build.job(*[step] * len(percents)))
     for number, percent in enumerate(percents):
@@ -31,7 +31,7 @@
     return pace
 
 
-def test_few_steps_tell_nothing():
+def test_too_few_steps_give_no_ratio():
     assert _pace([10.0] * 3).ratio is None
 
 
@@ -47,25 +47,25 @@
     assert pace.ratio is None
 
 
-def test_worker_is_slow_against_its_pool_only():
-    sound = _pace([95.0] * 6)
+def test_worker_is_slow_only_relative_to_its_pool():
+    healthy = _pace([95.0] * 6)
     slow = _pace([15.0] * 6)
-    slowness.judge(slow, [sound.ratio] * 3)
+    slowness.judge(slow, [healthy.ratio] * 3)
     assert slow.slow
     slowness.judge(slow, [slow.ratio] * 3)
     assert not slow.slow
-    slowness.judge(sound, [sound.ratio, sound.ratio, slow.ratio])
-    assert not sound.slow
+    slowness.judge(healthy, [healthy.ratio, healthy.ratio, slow.ratio])
+    assert not healthy.slow
 
 
-def test_guesses_that_are_off_make_no_worker_slow():
-    sound = _pace([95.0] * 6)
+def test_wrong_estimates_make_no_worker_slow():
+    healthy = _pace([95.0] * 6)
     mixed = _pace([20.0, 30.0, 60.0, 80.0, 95.0, 99.0])
-    slowness.judge(mixed, [sound.ratio] * 3)
+    slowness.judge(mixed, [healthy.ratio] * 3)
     assert not mixed.slow
 
 
-def test_what_ended_long_ago_tells_nothing():
+def test_tasks_that_ended_long_ago_do_not_count():
     worker = build.worker()
     ledger = build.ledger_with(build.job(*[build.step()] * 6))
     pace = slowness.Pace()
@@ -78,24 +78,24 @@
     assert pace.ratio is None
 
 
-def test_run_is_begun_anew_only_where_that_is_sooner():
+def test_run_is_restarted_only_if_that_is_sooner():
     worker = build.worker()
     ledger = _running(worker, [15.0, 90.0])
     found = slowness.to_begin_anew(worker, _factor, 2.0)
     assert found == [build.task(ledger, 0)]
 
 
-def test_slow_worker_gets_no_batch_tasks_but_serving_ones():
+def test_slow_worker_gets_only_long_running_tasks():
     ledger = build.ledger_with(build.job())
     worker = build.worker()
     worker.slow = True
-    room = placing.rooms([worker], 1.0)[0]
-    assert not placing.fits(room, build.task(ledger).group)
-    lasting = build.ledger_with(build.job(build.step(lasting=True)))
-    assert placing.fits(room, build.task(lasting).group)
+    candidate = placing.rooms([worker], 1.0)[0]
+    assert not placing.fits(candidate, build.task(ledger).group)
+    long_running = build.ledger_with(build.job(build.step(lasting=True)))
+    assert placing.fits(candidate, build.task(long_running).group)
 
 
-def test_jobs_leave_slow_workers_and_end_in_time():
+def test_jobs_move_from_slow_workers_and_end_in_time():
     slow = troubles.Trouble(troubles.Kind.EXECUTORS_SLOW, 3.0, 12.0)
     waits_s = []
     for seed in (3, 4, 5):
@@ -105,5 +105,5 @@
         assert not result.breaches and not result.unfinished
         waits_s += result.waits_s
     waits_s.sort()
-    # 4.9 s with the rule, 9.2 s without: a task of 1 s takes 7 s there.
+    # 4.9 s with relocation, 9.2 s without: a task of 1 s takes 7 s there.
     assert waits_s[len(waits_s) * 19 // 20] < 7.0
--- a/tests/test_worker_reports.py
+++ b/tests/test_worker_reports.py
@@ -1,4 +1,4 @@
-"""Tests of what reports of workers prove, and what they don't."""
+"""Tests of what a worker's report proves, and what it does not."""
 
 from oleanderwood.jobs import ledger as ledgers
 from oleanderwood.jobs import model
@@ -10,13 +10,13 @@
 Phase = ledgers.RunPhase
 
 
-def _world():
+def _setup():
     ledger = build.ledger_with(build.job(build.step(2)))
     return ledger, build.task(ledger), build.worker()
 
 
 def test_listed_end_ends_the_run():
-    ledger, task, worker = _world()
+    ledger, task, worker = _setup()
     build.start(ledger, task, worker)
     end = (1, task.name, 1, reports.How.DONE)
     outcome = build.take(ledger, worker, build.report(ended=[end]))
@@ -24,8 +24,8 @@
     assert worker.seen_end == 1 and worker.kept_end == 0
 
 
-def test_same_end_is_taken_in_once():
-    ledger, task, worker = _world()
+def test_same_end_is_applied_once():
+    ledger, task, worker = _setup()
     build.start(ledger, task, worker)
     end = (1, task.name, 1, reports.How.FAILED)
     build.take(ledger, worker, build.report(ended=[end]))
@@ -35,7 +35,7 @@
 
 
 def test_unanswered_start_is_over_only_after_a_stop_was_taken():
-    ledger, task, worker = _world()
+    ledger, task, worker = _setup()
     run = build.start(ledger, task, worker)
     ledgers.set_phase(run, Phase.DOUBTFUL, 1.0)
     outcome = build.take(ledger, worker, build.report(), sent_s=1.5)
@@ -51,22 +51,22 @@
 
 
 def test_unanswered_start_that_is_listed_runs():
-    ledger, task, worker = _world()
+    ledger, task, worker = _setup()
     run = build.start(ledger, task, worker)
     ledgers.set_phase(run, Phase.DOUBTFUL, 1.0)
     build.take(ledger, worker, build.report([(task.name, 1)]))
     assert run.phase is Phase.RUNNING
 
 
-def test_report_asked_for_before_a_start_proves_nothing_of_it():
-    ledger, task, worker = _world()
+def test_report_requested_before_a_start_proves_nothing_about_it():
+    ledger, task, worker = _setup()
     run = build.start(ledger, task, worker, now_s=3.0)
     outcome = build.take(ledger, worker, build.report(), sent_s=2.0)
     assert not outcome.stops and run.phase is Phase.RUNNING
 
 
 def test_run_of_an_earlier_leader_is_adopted():
-    ledger, task, worker = _world()
+    ledger, task, worker = _setup()
     build.take(ledger, worker, build.report([(task.name, 7)]))
     assert task.run.attempt == 7
     assert worker.runs[task.name] is task
@@ -74,7 +74,7 @@
 
 
 def test_run_of_an_unknown_job_is_stopped():
-    ledger, _task, worker = _world()
+    ledger, _task, worker = _setup()
     outcome = build.take(
         ledger, worker, build.report([('ffffffffffffffff.0.0.0', 1)])
     )
@@ -82,15 +82,15 @@
 
 
 def test_second_run_of_a_task_is_stopped():
-    ledger, task, worker = _world()
+    ledger, task, worker = _setup()
     build.start(ledger, task, build.worker('w2'))
     outcome = build.take(ledger, worker, build.report([(task.name, 1)]))
     assert outcome.stops == [(task.name, 1)]
     assert task.run.worker == 'w2'
 
 
-def test_run_that_was_given_up_is_stopped_when_it_shows_again():
-    ledger, task, worker = _world()
+def test_lost_run_is_stopped_when_it_is_listed_again():
+    ledger, task, worker = _setup()
     build.start(ledger, task, worker)
     workers_.lost(ledger, worker, 2.0)
     outcome = build.take(ledger, worker, build.report([(task.name, 1)]))
@@ -98,7 +98,7 @@
 
 
 def test_done_elsewhere_stops_the_other_run():
-    ledger, task, worker = _world()
+    ledger, task, worker = _setup()
     build.start(ledger, task, worker)
     workers_.lost(ledger, worker, 2.0)
     build.start(ledger, task, build.worker('w2'))
@@ -107,8 +107,8 @@
     assert task.done and outcome.elsewhere == [task]
 
 
-def test_lost_worker_lets_its_tasks_wait_again():
-    ledger, task, worker = _world()
+def test_tasks_of_a_lost_worker_wait_again():
+    ledger, task, worker = _setup()
     build.start(ledger, task, worker)
     assert workers_.lost(ledger, worker, 2.0) == [task]
     assert task.run is None and task.group.waiting[task.index] is task
@@ -134,19 +134,20 @@
         build.start(ledger, task, worker)
         end = (index + 1, task.name, 1, reports.How.FAILED)
         build.take(ledger, worker, build.report(ended=[end]), attempts=9)
-    assert workers_.suspect(worker)
+    assert workers_.is_suspect(worker)
     task = build.task(ledger, 0, 1, names[3])
     build.start(ledger, task, worker)
     end = (4, task.name, 1, reports.How.DONE)
     build.take(ledger, worker, build.report(ended=[end]))
-    assert not workers_.suspect(worker)
+    assert not workers_.is_suspect(worker)
 
 
-def test_run_that_nobody_wants_takes_room_until_it_has_ended():
-    # After a change of leader a worker still ran a task of a job that had
-    # been cancelled. It was told to stop, but its room was given away before
-    # it had ended: beyond what the worker holds, where it doesn't check that
-    # itself. Seen on a day with such workers, seed 4 at six jobs a second.
+def test_unwanted_run_uses_resources_until_it_has_ended():
+    # Guards against an overloaded worker: after a change of leader it still
+    # ran a task of a cancelled job. The task was ordered to stop, but its
+    # resources were assigned again before it had ended, which a worker that
+    # does not check its capacity accepts. Seen on a day with such workers,
+    # seed 4 at six jobs a second.
     ledger = build.ledger_with(
         build.job(build.step(cpu=5000, mem=300, max_per_worker=1))
     )
@@ -155,15 +156,17 @@
     outcome = build.take(ledger, worker, build.report([(task.name, 1)]))
     assert outcome.stops == [(task.name, 1)]
     assert workers_.used(worker) == model.Resources(5000, 300)
-    (room,) = placing.rooms([worker], 2.0)
-    assert room.cpu_millicores == 3000 and not placing.fits(room, task.group)
+    (candidate,) = placing.rooms([worker], 2.0)
+    assert candidate.cpu_millicores == 3000 and not placing.fits(
+        candidate, task.group
+    )
     end = (1, task.name, 1, reports.How.STOPPED)
     build.take(ledger, worker, build.report(ended=[end]))
     assert workers_.used(worker) == model.Resources()
 
 
 def test_worker_with_a_run_of_unknown_size_gets_nothing_more():
-    ledger, _task, worker = _world()
+    ledger, _task, worker = _setup()
     unknown = 'f' * 16 + '.0.0.0'
     build.take(ledger, worker, build.report([(unknown, 1)]))
     assert not placing.rooms([worker], 2.0)
--- a/tests/utils_overload.py
+++ b/tests/utils_overload.py
@@ -1,4 +1,4 @@
-"""A pool that can't hold its queue's turn, played without a network."""
+"""A pool that gets a burst larger than it can hold, without a network."""
 
 import dataclasses
 import heapq
@@ -17,11 +17,11 @@
 
 
 @dataclasses.dataclass
-class Turn:
-    """Small jobs of which more come than the pool holds.
+class Burst:
+    """Small jobs that arrive faster than the pool can run them.
 
-    :ivar jobs_per_s: six tasks of 3.5 cores and 0.64 s each in the mean
-    :ivar guess_spread: of the logarithm of callers' guesses
+    :ivar jobs_per_s: six tasks of 3.5 cores and 0.64 s each on average
+    :ivar guess_spread: standard deviation of the logarithm of estimates
     """
 
     seed: int
@@ -36,7 +36,7 @@
     """What callers got.
 
     :ivar in_time: by job, whether it ended within its objective
-    :ivar tasks: by job, how many it had
+    :ivar tasks: by job, the number of its tasks
     """
 
     in_time: dict[str, bool] = dataclasses.field(default_factory=dict)
@@ -44,34 +44,37 @@
 
     @property
     def share(self) -> float:
-        """Give the part of the jobs that ended in time."""
+        """Return the part of the jobs that ended in time."""
         return sum(self.in_time.values()) / len(self.in_time)
 
     def share_of_largest(self, part: float) -> float:
-        """Give the same of the jobs with the most tasks."""
+        """Return the share that ended in time of the jobs with the most tasks.
+
+        :param part: part of all jobs that counts as the largest
+        """
         names = sorted(self.tasks, key=lambda name: -self.tasks[name])
         names = names[: max(1, int(part * len(names)))]
         return sum(self.in_time[name] for name in names) / len(names)
 
 
-def _draw(rng: random.Random, turn: Turn) -> list[tuple[float, model.Job]]:
-    """Draw jobs, and by step how long a task really takes, in its text."""
+def _draw(rng: random.Random, burst: Burst) -> list[tuple[float, model.Job]]:
+    """Draw jobs with their arrivals and the actual durations by step."""
     rows = []
     at_s = 0.0
     while True:
-        at_s += rng.expovariate(turn.jobs_per_s)
-        if at_s > turn.length_s:
+        at_s += rng.expovariate(burst.jobs_per_s)
+        if at_s > burst.length_s:
             return rows
         steps, real_s = [], []
         for number in range(1 + (rng.random() < 0.45) + (rng.random() < 0.1)):
             length_s = min(1.6, rng.lognormvariate(math.log(0.58), 0.45))
-            off = rng.gauss(0.0, turn.guess_spread)
+            deviation = rng.gauss(0.0, burst.guess_spread)
             real_s.append(length_s)
             steps.append(
                 build.step(
                     min(24, max(1, round(rng.lognormvariate(1.6, 0.6)))),
                     cpu=rng.randint(2000, 5000),
-                    guess_ms=max(30.0, length_s * math.exp(off) * 700),
+                    guess_ms=max(30.0, length_s * math.exp(deviation) * 700),
                     after=(number - 1,) if number else (),
                 )
             )
@@ -79,24 +82,24 @@
         rows.append((at_s, job, real_s))
 
 
-def play(turn: Turn, lengths: lengths_.Lengths) -> Served:
-    """Play a turn with the product's own order and placing."""
-    rng = random.Random(turn.seed)
-    rows = _draw(rng, turn)
+def play(burst: Burst, lengths: lengths_.Lengths) -> Served:
+    """Play a burst with the product's own ordering and placement."""
+    rng = random.Random(burst.seed)
+    rows = _draw(rng, burst)
     real = {job.job: real_s for _at_s, job, real_s in rows}
     ledger = ledgers.Ledger()
     capacity = model.Resources(CORES * 1000, 256_000)
     pool = [
-        build.worker(f'w{i}', capacity=capacity) for i in range(turn.machines)
+        build.worker(f'w{i}', capacity=capacity) for i in range(burst.machines)
     ]
     workers = {worker.entry.worker: worker for worker in pool}
     served = Served()
     known = {'q': build.queue()}
     ends: list = []
-    now_s, coming = 0.0, list(reversed(rows))
-    while coming or ends:
-        while coming and coming[-1][0] <= now_s:
-            ledgers.add(ledger, coming.pop()[1], now_s)
+    now_s, arriving = 0.0, list(reversed(rows))
+    while arriving or ends:
+        while arriving and arriving[-1][0] <= now_s:
+            ledgers.add(ledger, arriving.pop()[1], now_s)
         while ends and ends[0][0] <= now_s:
             _end(ledger, workers, lengths, heapq.heappop(ends))
         _start(ledger, pool, known, lengths, ends, real, now_s)
