--- a/oleanderwood/pools/blame.py
+++ b/oleanderwood/pools/blame.py
@@ -21,10 +21,10 @@
     :param gone_s: when it went down
     :param others_s: when all others that went down recently did
     """
-    together = sum(
+    count = sum(
         abs(at_s - gone_s) <= COMMON_CAUSE_WINDOW_S for at_s in others_s
     )
-    return together + 1 >= COMMON_CAUSE_WORKERS
+    return count + 1 >= COMMON_CAUSE_WORKERS
 
 
 def put_down(
--- a/oleanderwood/pools/held_back.py
+++ b/oleanderwood/pools/held_back.py
@@ -88,13 +88,15 @@
 def _left_s(task: ledgers.Task, length_s: float, now_s: float) -> float | None:
     """Return the time a run still takes; None unless relocation is faster."""
     run = task.run
-    moved = run.percent - run.looked_percent
-    rate = moved / (now_s - run.looked_at_s)
+    progress_percent = run.percent - run.looked_percent
+    rate = progress_percent / (now_s - run.looked_at_s)
     if rate * length_s >= 100 * MIN_PROGRESS_PART:
         return None
-    rest = 100 - run.percent
-    left_s = rest / rate if rate > 0 else float('inf')
-    restart_s = length_s * (rest / 100 if task.group.step.checkpoints else 1.0)
+    remaining_percent = 100 - run.percent
+    left_s = remaining_percent / rate if rate > 0 else float('inf')
+    restart_s = length_s * (
+        remaining_percent / 100 if task.group.step.checkpoints else 1.0
+    )
     return left_s if left_s > restart_s + RESTART_COST_S else None
 
 
--- a/oleanderwood/pools/placing.py
+++ b/oleanderwood/pools/placing.py
@@ -401,16 +401,16 @@
         return []
     if any(task.not_before_s > now_s for task in members):
         return []
-    quiet = free
+    without_latency_tasks = free
     if group.step.uses_leftover:
         # Next to latency-sensitive tasks, such a gang would be starved.
-        quiet = [
+        without_latency_tasks = [
             candidate for candidate in free if not candidate.has_latency_tasks
         ]
     choices = [
-        *candidates_by_rack(group, quiet),
+        *candidates_by_rack(group, without_latency_tasks),
         *candidates_by_rack(group, free),
-        quiet,
+        without_latency_tasks,
         free,
     ]
     for choice in choices:
--- a/oleanderwood/pools/quotas.py
+++ b/oleanderwood/pools/quotas.py
@@ -65,11 +65,11 @@
     """What an earlier leader may have left running without a report yet.
 
     :ivar groups: steps whose waiting tasks may be running already
-    :ivar most: upper bound of their resources; None: unknown
+    :ivar max_resources: upper bound of their resources; None: unknown
     """
 
     groups: collections.abc.Collection[ledgers.Group] = ()
-    most: model.Resources | None = None
+    max_resources: model.Resources | None = None
 
 
 def make(
@@ -129,12 +129,12 @@
             row.cpu_millicores += waiting * needs.cpu_millicores
     for tenant, row in asked.items():
         used = quotas.used[tenant]
-        most = unseen.most or model.Resources(
+        bound = unseen.max_resources or model.Resources(
             row.cpu_millicores, row.memory_mb, row.gpus
         )
-        used.cpu_millicores += min(row.cpu_millicores, most.cpu_millicores)
-        used.memory_mb += min(row.memory_mb, most.memory_mb)
-        used.gpus += min(row.gpus, most.gpus)
+        used.cpu_millicores += min(row.cpu_millicores, bound.cpu_millicores)
+        used.memory_mb += min(row.memory_mb, bound.memory_mb)
+        used.gpus += min(row.gpus, bound.gpus)
 
 
 def copy(quotas: Quotas) -> Quotas:
@@ -205,8 +205,10 @@
         (limit.gpus, used.gpus, needs.gpus),
     )
     return all(
-        not most or not needed or used_amount + tasks * needed <= most * part
-        for most, used_amount, needed in rows
+        not maximum
+        or not needed
+        or used_amount + tasks * needed <= maximum * part
+        for maximum, used_amount, needed in rows
     )
 
 
@@ -217,8 +219,8 @@
         return False
     limit = quotas.limits[tenant]
     return any(
-        most and used_amount >= most
-        for most, used_amount in (
+        maximum and used_amount >= maximum
+        for maximum, used_amount in (
             (limit.cpu_millicores, used.cpu_millicores),
             (limit.memory_mb, used.memory_mb),
             (limit.gpus, used.gpus),
--- a/oleanderwood/pools/shares.py
+++ b/oleanderwood/pools/shares.py
@@ -60,15 +60,15 @@
     if len(queues) < 2:
         return groups
     heap: list[tuple[float, int, ids.TenantId]] = []
-    for place, tenant in enumerate(queues):
+    for position, tenant in enumerate(queues):
         used = quotas.used.get(tenant, quotas_.Used())
         share = _dominant_share(
             used.cpu_millicores, used.memory_mb, used.gpus, whole
         ) / _weight(weights, tenant)
-        heapq.heappush(heap, (share, place, tenant))
+        heapq.heappush(heap, (share, position, tenant))
     ordered = []
     while heap:
-        share, place, tenant = heapq.heappop(heap)
+        share, position, tenant = heapq.heappop(heap)
         group = queues[tenant].popleft()
         ordered.append(group)
         if queues[tenant]:
@@ -80,7 +80,7 @@
                 waiting * needs.gpus,
                 whole,
             ) / _weight(weights, tenant)
-            heapq.heappush(heap, (share, place, tenant))
+            heapq.heappush(heap, (share, position, tenant))
     return ordered
 
 
--- a/oleanderwood/pools/shortage.py
+++ b/oleanderwood/pools/shortage.py
@@ -44,7 +44,7 @@
     """Return how many tasks of a step an idle machine could hold."""
     if step.label and step.label not in labels:
         return 0
-    most = [
+    limits = [
         available // needed
         for available, needed in (
             (capacity.cpu_millicores, step.needs.cpu_millicores),
@@ -54,8 +54,8 @@
         if needed
     ]
     if step.max_per_worker:
-        most.append(step.max_per_worker)
-    return min(most, default=step.tasks)
+        limits.append(step.max_per_worker)
+    return min(limits, default=step.tasks)
 
 
 def _idle(worker: workers_.Worker) -> placing.Room:
--- a/oleanderwood/pools/stalls.py
+++ b/oleanderwood/pools/stalls.py
@@ -33,11 +33,11 @@
 def _is_stalled(task: ledgers.Task, run: ledgers.Run, now_s: float) -> bool:
     if run.pace_percent != 100 or run.moved_on_s == 0:
         return False
-    still_s = now_s - _last_progress_s(task, run)
+    no_progress_s = now_s - _last_progress_s(task, run)
     if task.group.step.lasting:
-        return run.at_work_since_s is None and still_s > STARTUP_S
+        return run.at_work_since_s is None and no_progress_s > STARTUP_S
     estimate_s = task.group.step.guess_ms / 1000
-    return still_s > max(STALLED_S, MAX_STILL_FACTOR * estimate_s)
+    return no_progress_s > max(STALLED_S, MAX_STILL_FACTOR * estimate_s)
 
 
 def _last_progress_s(task: ledgers.Task, run: ledgers.Run) -> float:
--- a/oleanderwood/pools/workers.py
+++ b/oleanderwood/pools/workers.py
@@ -407,7 +407,7 @@
 
 def succeed(
     ledger: ledgers.Ledger,
-    former: Worker,
+    previous: Worker,
     worker: Worker,
     report: reports.Report,
     now_s: float,
@@ -424,15 +424,15 @@
     """
     rows = [*report.running, *report.ended]
     listed = {RunName(row.task, row.attempt) for row in rows}
-    refused = dict(former.doubtful)
-    for task in list(former.runs.values()):
+    to_refuse = dict(previous.doubtful)
+    for task in list(previous.runs.values()):
         run = task.run
-        if run is None or run.worker != former.entry.worker:
+        if run is None or run.worker != previous.entry.worker:
             continue
         name = RunName(task.name, run.attempt)
         surely_over = run.seen or not run.sent
         if surely_over and name not in listed:
-            end_run(ledger, former, task, now_s)
+            end_run(ledger, previous, task, now_s)
             continue
         run.worker = worker.entry.worker
         worker.runs[task.name] = task
@@ -441,10 +441,10 @@
         if run.phase is ledgers.RunPhase.STOPPING:
             # Only the earlier incarnation may have taken that stop.
             run.stop_answered_s = None
-            refused[name] = None
-    former.runs.clear()
-    worker.doubtful.update(refused)
-    return [name for name in refused if name not in listed]
+            to_refuse[name] = None
+    previous.runs.clear()
+    worker.doubtful.update(to_refuse)
+    return [name for name in to_refuse if name not in listed]
 
 
 def note_losses(worker: Worker, now_s: float) -> list[Loss]:
