--- a/oleanderwood/pools/entries.py
+++ b/oleanderwood/pools/entries.py
@@ -72,41 +72,41 @@
     )
 
 
-def note_refusal(book: Book, name: ids.ExecutorId, reason: str) -> bool:
+def note_refusal(unused: Book, name: ids.ExecutorId, reason: str) -> bool:
     """Record a refusal; return whether it is to be logged.
 
     An entry that is written repeatedly is logged again only when its reason
     changes.
     """
-    if book.refused.get(name) == reason:
+    if unused.refused.get(name) == reason:
         return False
-    if name not in book.refused and len(book.refused) >= MOST_REFUSED:
+    if name not in unused.refused and len(unused.refused) >= MOST_REFUSED:
         return False
-    book.refused[name] = reason
+    unused.refused[name] = reason
     return True
 
 
-def forget(book: Book, name: ids.ExecutorId) -> None:
+def forget(unused: Book, name: ids.ExecutorId) -> None:
     """Forget an entry that was removed or has become valid."""
-    book.refused.pop(name, None)
-    book.waiting.pop(name, None)
+    unused.refused.pop(name, None)
+    unused.waiting.pop(name, None)
 
 
-def wait(book: Book, entry: reports.Entry) -> None:
+def wait(unused: Book, entry: reports.Entry) -> None:
     """Hold an entry until its service is named."""
     name = lives.executor(entry.worker)
-    book.waiting.pop(name, None)
-    book.waiting[name] = entry
-    if len(book.waiting) > MOST_WAITING:
-        del book.waiting[next(iter(book.waiting))]
+    unused.waiting.pop(name, None)
+    unused.waiting[name] = entry
+    if len(unused.waiting) > MOST_WAITING:
+        del unused.waiting[next(iter(unused.waiting))]
 
 
 def keep_only(
-    book: Book, listed: collections.abc.Collection[ids.ExecutorId]
+    unused: Book, listed: collections.abc.Collection[ids.ExecutorId]
 ) -> None:
     """Forget all entries that a complete listing does not contain."""
-    for name in {*book.refused, *book.waiting} - set(listed):
-        forget(book, name)
+    for name in {*unused.refused, *unused.waiting} - set(listed):
+        forget(unused, name)
 
 
 def same_place(entry: reports.Entry, other: reports.Entry) -> bool:
--- a/oleanderwood/pools/late_orders.py
+++ b/oleanderwood/pools/late_orders.py
@@ -50,34 +50,37 @@
     )
 
 
-def take(book: Book, order: LateOrder, now_s: float) -> None:
+def take(unanswered: Book, order: LateOrder, now_s: float) -> None:
     """Record that an executor has to be called; the highest fence is kept."""
     name = order.executor
-    known = book.orders.get(name)
+    known = unanswered.orders.get(name)
     if known is None or order.fence >= known.fence:
-        book.orders[name] = order
+        unanswered.orders[name] = order
     until_s = now_s + min(order.for_s, MAX_DELAY_S)
-    book.until_s[name] = max(until_s, book.until_s.get(name, 0.0))
-    if len(book.orders) > MAX_EXECUTORS:
-        drop(book, min(book.until_s, key=book.until_s.__getitem__))
+    unanswered.until_s[name] = max(until_s, unanswered.until_s.get(name, 0.0))
+    if len(unanswered.orders) > MAX_EXECUTORS:
+        drop(
+            unanswered,
+            min(unanswered.until_s, key=unanswered.until_s.__getitem__),
+        )
 
 
-def drop(book: Book, executor: ids.ExecutorId) -> None:
+def drop(unanswered: Book, executor: ids.ExecutorId) -> None:
     """Stop calling an executor."""
-    book.orders.pop(executor, None)
-    book.until_s.pop(executor, None)
+    unanswered.orders.pop(executor, None)
+    unanswered.until_s.pop(executor, None)
 
 
-def due(book: Book, now_s: float) -> list[LateOrder]:
+def due(unanswered: Book, now_s: float) -> list[LateOrder]:
     """Return the executors to call now."""
-    for executor, until_s in list(book.until_s.items()):
+    for executor, until_s in list(unanswered.until_s.items()):
         if now_s >= until_s:
-            drop(book, executor)
-    return list(book.orders.values())
+            drop(unanswered, executor)
+    return list(unanswered.orders.values())
 
 
-def take_untold(book: Book) -> list[LateOrder]:
+def take_untold(unanswered: Book) -> list[LateOrder]:
     """Remove and return the orders not yet sent to other servers."""
-    orders = list(book.untold.values())
-    book.untold.clear()
+    orders = list(unanswered.untold.values())
+    unanswered.untold.clear()
     return orders
--- a/oleanderwood/pools/lives.py
+++ b/oleanderwood/pools/lives.py
@@ -14,22 +14,22 @@
 """Separates id and birth time; no id contains it, as ids are parts of keys."""
 
 
-def life(executor: ids.ExecutorId, born: int | None) -> ids.VmId:
+def life(executor_id: ids.ExecutorId, born: int | None) -> ids.VmId:
     """Return the name of an incarnation.
 
     :param born: its birth time in milliseconds since 1970; None if it is not
         reported: the executor is known by its id alone
     """
     if born is None:
-        return ids.VmId(executor)
-    return ids.VmId(f'{executor}{_SEPARATOR}{born}')
+        return ids.VmId(executor_id)
+    return ids.VmId(f'{executor_id}{_SEPARATOR}{born}')
 
 
-def tells_birth(life: ids.VmId) -> bool:
+def tells_birth(name: ids.VmId) -> bool:
     """Return whether the executor reports births, and so may keep its id."""
-    return _SEPARATOR in life
+    return _SEPARATOR in name
 
 
-def executor(life: ids.VmId) -> ids.ExecutorId:
+def executor(name: ids.VmId) -> ids.ExecutorId:
     """Return the id of an incarnation's executor."""
-    return ids.ExecutorId(life.partition(_SEPARATOR)[0])
+    return ids.ExecutorId(name.partition(_SEPARATOR)[0])
--- a/oleanderwood/pools/slowness.py
+++ b/oleanderwood/pools/slowness.py
@@ -64,13 +64,13 @@
 
 
 def note_end(
-    pace: Pace, task: ledgers.Task, took_s: float, factor: float, now_s: float
+    speed: Pace, task: ledgers.Task, took_s: float, factor: float, now_s: float
 ) -> None:
     """Record a task that has ended successfully."""
     estimate_s = _estimated_s(task, factor)
     if estimate_s > 0 and took_s > 0:
         ratio = math.log(took_s / estimate_s)
-        pace.ended.append(EndedTask(now_s, task.group, ratio))
+        speed.ended.append(EndedTask(now_s, task.group, ratio))
 
 
 def _estimated_s(task: ledgers.Task, factor: float) -> float:
@@ -78,13 +78,13 @@
 
 
 def measure(
-    pace: Pace, worker: workers_.Worker, factor_of: FactorOf, now_s: float
+    speed: Pace, worker: workers_.Worker, factor_of: FactorOf, now_s: float
 ) -> None:
     """Measure a worker again, by its runs and its recently ended tasks."""
-    while pace.ended and pace.ended[0].at_s < now_s - MEMORY_S:
-        pace.ended.popleft()
+    while speed.ended and speed.ended[0].at_s < now_s - MEMORY_S:
+        speed.ended.popleft()
     ratios: dict[ledgers.Group, list[float]] = {}
-    for row in pace.ended:
+    for row in speed.ended:
         ratios.setdefault(row.group, []).append(row.ratio)
     for task in worker.runs.values():
         total_s = _projected_s(task, now_s)
@@ -92,9 +92,9 @@
         if total_s is not None and estimate_s > 0:
             ratio = math.log(total_s / estimate_s)
             ratios.setdefault(task.group, []).append(ratio)
-    pace.ratio = None
+    speed.ratio = None
     if len(ratios) >= MIN_STEPS:
-        pace.ratio = statistics.fmean(map(statistics.fmean, ratios.values()))
+        speed.ratio = statistics.fmean(map(statistics.fmean, ratios.values()))
 
 
 def _projected_s(task: ledgers.Task, now_s: float) -> float | None:
@@ -126,16 +126,16 @@
     return max(0.0, total_s - (now_s - task.run.begun_s))
 
 
-def judge(pace: Pace, others: list[float]) -> None:
+def judge(speed: Pace, others: list[float]) -> None:
     """Compare a worker with the others of its pool and set whether it is slow.
 
     :param others: ratios of the other workers
     """
-    if pace.ratio is None or len(others) < 2:
-        pace.slow = False
+    if speed.ratio is None or len(others) < 2:
+        speed.slow = False
         return
     pool_ratio = statistics.median(others)
-    pace.slow = pace.ratio - pool_ratio >= math.log(SLOW_FACTOR)
+    speed.slow = speed.ratio - pool_ratio >= math.log(SLOW_FACTOR)
 
 
 def to_begin_anew(
--- a/oleanderwood/pools/workers.py
+++ b/oleanderwood/pools/workers.py
@@ -48,8 +48,8 @@
     """State of one worker as its leader knows it.
 
     :ivar listed: its entry is in the store and is usable
-    :ivar rostered: the stored list of workers is known to name it at its
-        current place
+    :ivar rostered: the stored list of workers is known to name it at
+        its current place
     :ivar fenced: it has answered under this term, so it refuses orders of
         earlier terms
     :ivar heard: it has reported all its runs and ends under this term
@@ -63,8 +63,8 @@
     :ivar due: its machine is due for maintenance
     :ivar closed: accepts no tasks, as its machine is about to go down or move
     :ivar emptying: accepts no tasks, as another pool needs its machine
-    :ivar refused: smallest request that it recently rejected for lack of
-        resources; valid until ``refused_until_s``
+    :ivar refused: smallest request that it recently rejected for lack
+        of resources; valid until ``refused_until_s``
     :ivar failures: failed runs since the last successful one
     :ivar stalled: stalled runs since the last successful one
     :ivar slow: it is several times slower than its pool
@@ -72,8 +72,8 @@
     :ivar foreign: steps of unmanaged runs that it lists; they use resources
         until they have been stopped
     :ivar crowded: it lists a run whose needs are unknown
-    :ivar doubtful: unconfirmed runs: their start order got no answer and the
-        worker has not listed them. They may begin late, in this or the next
+    :ivar doubtful: runs whose start order got no answer and that the
+        worker has not listed. They may begin late, in this or the next
         incarnation of the executor
     :ivar provisional: added when it answered a call meant for an earlier
         incarnation; its pool is not certain until its own entry is read
@@ -148,8 +148,8 @@
     """Actions that follow from a report.
 
     :ivar stops: runs to stop on this worker
-    :ivar elsewhere: tasks whose run on another worker is to be stopped: they
-        are done, or this worker reports a second run
+    :ivar elsewhere: tasks whose run on another worker is to be stopped:
+        they are done, or this worker reports a second run
     :ivar lengths: tasks that are done, and how long they took in seconds
     :ivar changed: whether tasks became ready or resources were freed
     :ivar notes: events for the log
--- a/tests/test_late_orders.py
+++ b/tests/test_late_orders.py
@@ -59,7 +59,7 @@
 
 
 def test_executors_without_birth_times_are_not_called():
-    books = []
+    all_unanswered = []
 
     async def scenario(scene):
         utils_restarts.make_one_late(scene, LATE_S)
@@ -67,11 +67,11 @@
             scene, build.leader(scene), build.step(1, 16000, 1000)
         )
         await curio.sleep(1.5)
-        books.extend(row.state.unanswered for row in scene.processes)
+        all_unanswered.extend(row.state.unanswered for row in scene.processes)
 
     build.play(scenario)
-    assert books
-    assert not any(book.orders for book in books)
+    assert all_unanswered
+    assert not any(unanswered.orders for unanswered in all_unanswered)
 
 
 def _order(number, fence=1, for_s=late_orders.MAX_DELAY_S):
@@ -91,31 +91,31 @@
     )
 )
 def test_latest_orders_are_kept_with_their_highest_fences(steps):
-    book = late_orders.Book()
+    unanswered = late_orders.Book()
     now_s = 0.0
     fences: dict[str, int] = {}
     for number, fence, for_s in steps:
         now_s += 0.1
         order = _order(number, fence, for_s)
-        if order.executor not in book.orders:
+        if order.executor not in unanswered.orders:
             fences.pop(order.executor, None)
         fences[order.executor] = max(fence, fences.get(order.executor, 0))
-        late_orders.take(book, order, now_s)
-        assert len(book.orders) <= late_orders.MAX_EXECUTORS
-        assert book.orders.keys() == book.until_s.keys()
-        for known in book.orders.values():
+        late_orders.take(unanswered, order, now_s)
+        assert len(unanswered.orders) <= late_orders.MAX_EXECUTORS
+        assert unanswered.orders.keys() == unanswered.until_s.keys()
+        for known in unanswered.orders.values():
             assert known.fence == fences[known.executor]
-        longest_s = max(book.until_s.values(), default=0.0)
+        longest_s = max(unanswered.until_s.values(), default=0.0)
         assert longest_s <= now_s + late_orders.MAX_DELAY_S
-    assert not late_orders.due(book, now_s + late_orders.MAX_DELAY_S)
+    assert not late_orders.due(unanswered, now_s + late_orders.MAX_DELAY_S)
 
 
 def test_executor_is_called_until_its_order_can_no_longer_arrive():
-    book = late_orders.Book()
-    late_orders.take(book, _order(1), 0.0)
-    late_orders.take(book, _order(2), 5.0)
-    assert len(late_orders.due(book, late_orders.MAX_DELAY_S - 0.1)) == 2
-    (left,) = late_orders.due(book, late_orders.MAX_DELAY_S)
+    unanswered = late_orders.Book()
+    late_orders.take(unanswered, _order(1), 0.0)
+    late_orders.take(unanswered, _order(2), 5.0)
+    assert len(late_orders.due(unanswered, late_orders.MAX_DELAY_S - 0.1)) == 2
+    (left,) = late_orders.due(unanswered, late_orders.MAX_DELAY_S)
     assert left.executor == 'i-2'
-    late_orders.drop(book, left.executor)
-    assert not late_orders.due(book, late_orders.MAX_DELAY_S)
+    late_orders.drop(unanswered, left.executor)
+    assert not late_orders.due(unanswered, late_orders.MAX_DELAY_S)
--- a/tests/test_slowness.py
+++ b/tests/test_slowness.py
@@ -23,16 +23,16 @@
     return ledger
 
 
-def _pace(percents):
+def _measured_speed(percents):
     worker = build.worker()
     _running(worker, percents)
-    pace = slowness.Pace()
-    slowness.measure(pace, worker, _factor, 2.0)
-    return pace
+    speed = slowness.Pace()
+    slowness.measure(speed, worker, _factor, 2.0)
+    return speed
 
 
 def test_too_few_steps_give_no_ratio():
-    assert _pace([10.0] * 3).ratio is None
+    assert _measured_speed([10.0] * 3).ratio is None
 
 
 def test_many_tasks_of_one_step_count_as_one():
@@ -42,14 +42,14 @@
         run = build.start(ledger, build.task(ledger, 0, index), worker, 1.0)
         run.percent = 10.0
         run.moved_on_s = 2.0
-    pace = slowness.Pace()
-    slowness.measure(pace, worker, _factor, 2.0)
-    assert pace.ratio is None
+    speed = slowness.Pace()
+    slowness.measure(speed, worker, _factor, 2.0)
+    assert speed.ratio is None
 
 
 def test_worker_is_slow_only_relative_to_its_pool():
-    healthy = _pace([95.0] * 6)
-    slow = _pace([15.0] * 6)
+    healthy = _measured_speed([95.0] * 6)
+    slow = _measured_speed([15.0] * 6)
     slowness.judge(slow, [healthy.ratio] * 3)
     assert slow.slow
     slowness.judge(slow, [slow.ratio] * 3)
@@ -59,8 +59,8 @@
 
 
 def test_wrong_estimates_make_no_worker_slow():
-    healthy = _pace([95.0] * 6)
-    mixed = _pace([20.0, 30.0, 60.0, 80.0, 95.0, 99.0])
+    healthy = _measured_speed([95.0] * 6)
+    mixed = _measured_speed([20.0, 30.0, 60.0, 80.0, 95.0, 99.0])
     slowness.judge(mixed, [healthy.ratio] * 3)
     assert not mixed.slow
 
@@ -68,14 +68,14 @@
 def test_tasks_that_ended_long_ago_do_not_count():
     worker = build.worker()
     ledger = build.ledger_with(build.job(*[build.step()] * 6))
-    pace = slowness.Pace()
+    speed = slowness.Pace()
     for number in range(6):
         task = build.task(ledger, number)
-        slowness.note_end(pace, task, 7.0, 1.0, 1.0)
-    slowness.measure(pace, worker, _factor, 2.0)
-    assert pace.ratio is not None
-    slowness.measure(pace, worker, _factor, 9.0)
-    assert pace.ratio is None
+        slowness.note_end(speed, task, 7.0, 1.0, 1.0)
+    slowness.measure(speed, worker, _factor, 2.0)
+    assert speed.ratio is not None
+    slowness.measure(speed, worker, _factor, 9.0)
+    assert speed.ratio is None
 
 
 def test_run_is_restarted_only_if_that_is_sooner():
