--- a/oleanderwood/pools/late_orders.py
+++ b/oleanderwood/pools/late_orders.py
@@ -1,8 +1,8 @@
-"""Executors at which an order without an answer may be carried out late. Pure.
+"""Executors on which an unanswered order may be carried out late. Pure.
 
-One that starts again under its id has seen no fence, so the first call that
-reaches its next life decides. While an order may be out, it is to be asked
-again and again, with a fence above that of the order.
+An executor that restarts under its id has seen no fence, so the first call
+that reaches its next incarnation sets it. While an order may be in flight, the
+executor has to be called repeatedly, with a fence above that of the order.
 """
 
 import dataclasses
@@ -11,32 +11,32 @@
 
 from oleanderwood import ids
 
-LATE_S = 15.0
-"""Time for which an order without an answer may be carried out."""
+MAX_DELAY_S = 15.0
+"""Time in seconds for which an unanswered order may still be carried out."""
 
-MOST = 16
-"""Executors that one server asks so, those with the latest orders."""
+MAX_EXECUTORS = 16
+"""Executors that one server calls this way: those with the latest orders."""
 
 
 class LateOrder(msgspec.Struct, frozen=True):
-    """An executor at which an order may be carried out late.
+    """An executor on which an order may be carried out late.
 
     :ivar fence: above that of the order, and not above its leader's
-    :ivar for_s: how much longer it may be
+    :ivar for_s: for how much longer that may happen
     """
 
     executor: ids.ExecutorId
     address: ids.Address
     fence: ids.Fence
-    for_s: float = LATE_S
+    for_s: float = MAX_DELAY_S
 
 
 @dataclasses.dataclass
 class Book:
-    """The executors that one server asks.
+    """The executors that one server calls.
 
-    :ivar until_s: by when no order arrives late any more
-    :ivar untold: those that other servers weren't told of yet
+    :ivar until_s: time from which on the order cannot arrive any more
+    :ivar untold: those that other servers have not been notified of yet
     """
 
     orders: dict[ids.ExecutorId, LateOrder] = dataclasses.field(
@@ -50,34 +50,37 @@
     )
 
 
-def take(book: Book, order: LateOrder, now_s: float) -> None:
-    """Take in that an executor is to be asked; the highest fence counts."""
+def take(unanswered: Book, order: LateOrder, now_s: float) -> None:
+    """Record that an executor has to be called; the highest fence is kept."""
     name = order.executor
-    known = book.orders.get(name)
+    known = unanswered.orders.get(name)
     if known is None or order.fence >= known.fence:
-        book.orders[name] = order
-    until_s = now_s + min(order.for_s, LATE_S)
-    book.until_s[name] = max(until_s, book.until_s.get(name, 0.0))
-    if len(book.orders) > MOST:
-        drop(book, min(book.until_s, key=book.until_s.__getitem__))
+        unanswered.orders[name] = order
+    until_s = now_s + min(order.for_s, MAX_DELAY_S)
+    unanswered.until_s[name] = max(until_s, unanswered.until_s.get(name, 0.0))
+    if len(unanswered.orders) > MAX_EXECUTORS:
+        drop(
+            unanswered,
+            min(unanswered.until_s, key=unanswered.until_s.__getitem__),
+        )
 
 
-def drop(book: Book, executor: ids.ExecutorId) -> None:
-    """Ask an executor no more."""
-    book.orders.pop(executor, None)
-    book.until_s.pop(executor, None)
+def drop(unanswered: Book, executor: ids.ExecutorId) -> None:
+    """Stop calling an executor."""
+    unanswered.orders.pop(executor, None)
+    unanswered.until_s.pop(executor, None)
 
 
-def due(book: Book, now_s: float) -> list[LateOrder]:
-    """Give whom to ask now."""
-    for executor, until_s in list(book.until_s.items()):
+def due(unanswered: Book, now_s: float) -> list[LateOrder]:
+    """Return the executors to call now."""
+    for executor, until_s in list(unanswered.until_s.items()):
         if now_s >= until_s:
-            drop(book, executor)
-    return list(book.orders.values())
+            drop(unanswered, executor)
+    return list(unanswered.orders.values())
 
 
-def take_untold(book: Book) -> list[LateOrder]:
-    """Give what other servers are to be told, once."""
-    orders = list(book.untold.values())
-    book.untold.clear()
+def take_untold(unanswered: Book) -> list[LateOrder]:
+    """Remove and return the orders not yet sent to other servers."""
+    orders = list(unanswered.untold.values())
+    unanswered.untold.clear()
     return orders
