--- a/oleanderwood/capacity/backlog.py
+++ b/oleanderwood/capacity/backlog.py
@@ -1,25 +1,26 @@
-"""How many cores end a pool's waiting work in time. Pure.
+"""Compute how many cores a pool's waiting work needs to meet its deadlines.
 
-Load it answers: large jobs wait by the dozen at the end of their turn, with
-seconds to spare, while small ones of another pool must end within two. What
-can wait needs fewer machines for longer.
+Large jobs wait by the dozen at the end of a burst with seconds to spare, while
+small jobs of another pool have to end within two seconds. Work with a later
+deadline needs fewer machines for a longer time. The functions have no side
+effects.
 """
 
 import collections.abc
 import dataclasses
 
-LEAST_LEFT_S = 1.5
-"""Work that is due sooner counts as due by then: machines that are called for
-it come no earlier."""
+MIN_LEFT_S = 1.5
+"""Work that is due sooner counts as due in this time: a machine that is
+requested now arrives no earlier."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Waiting:
-    """Tasks of one step that wait.
+    """Waiting tasks of one step.
 
-    :ivar cores: that all of them need at the same time
-    :ivar length_s: of one task
-    :ivar left_s: time in which they have to end
+    :ivar cores: cores that all tasks need to run at the same time
+    :ivar length_s: expected run time of one task
+    :ivar left_s: time until the tasks have to end
     """
 
     cores: float
@@ -27,12 +28,12 @@
     left_s: float
 
 
-def cores(rows: collections.abc.Iterable[Waiting]) -> float:
-    """Give the least cores with which all rows end in time.
+def required_cores(rows: collections.abc.Iterable[Waiting]) -> float:
+    """Return the fewest cores with which all rows meet their deadlines.
 
-    Work that is due by a time has to be done by then; the time that asks
-    most decides. A task runs on its cores for its whole length, so a row
-    never counts for more than its cores.
+    For each deadline, the work due by then has to be done; the deadline that
+    needs the most cores decides. A task occupies its cores for its whole run
+    time, so a row never counts for more than its cores.
     """
     work = most = 0.0
     for row in sorted(rows, key=_due_s):
@@ -42,4 +43,4 @@
 
 
 def _due_s(row: Waiting) -> float:
-    return max(LEAST_LEFT_S, row.length_s, row.left_s)
+    return max(MIN_LEFT_S, row.length_s, row.left_s)
--- a/oleanderwood/capacity/draining.py
+++ b/oleanderwood/capacity/draining.py
@@ -1,8 +1,8 @@
-"""Which busy machines are emptied for another pool. Pure.
+"""Choose busy machines to drain for another pool.
 
-Load it answers: the large jobs' turn is over, and each of its machines is
-held by one or two long tasks for seconds, while another pool's turn begins
-and finds no idle machine.
+After a burst of large jobs, each of their machines is occupied by one or two
+long tasks for seconds, while another pool's burst starts and finds no idle
+machine. The functions have no side effects.
 """
 
 import collections.abc
@@ -14,21 +14,21 @@
 from oleanderwood.pools import slowness
 from oleanderwood.pools import workers as workers_
 
-STOP_S = 0.5
-"""Time until a task that saves its progress has left: a stop takes 0.2 to
-0.4 s and its report some more."""
+CHECKPOINTED_STOP_S = 0.5
+"""Time until a task with checkpoints has left its machine: a stop takes 0.2 to
+0.4 s, and its report some more."""
 
-LONGEST_S = 1.5
-"""A machine that can't be empty within this time isn't emptied: it would
-close room for as long as a move takes, and come when the need is over."""
+MAX_DRAIN_S = 1.5
+"""A machine that takes longer to drain isn't drained: it would accept no tasks
+for as long as a move takes, and arrive when the need is over."""
 
-STOP_GAIN_S = 1.0
-"""A task that saves its progress is stopped only if it would hold its machine
-for longer than this: a stop and a restore take 0.65 s."""
+MIN_STOP_GAIN_S = 1.0
+"""A task with checkpoints is stopped only if it would occupy its machine for
+longer than this: a stop and a restore take 0.65 s."""
 
 
 class Member(typing.Protocol):
-    """A machine, as the plan of pools sees it."""
+    """A machine, as the planning of pools sees it."""
 
     machine: str
     cores: float
@@ -38,9 +38,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Emptied:
-    """A machine that gets no more tasks.
+    """A machine that accepts no more tasks.
 
-    :ivar stops: tasks that go on elsewhere in their pool
+    :ivar stops: tasks to stop, which continue elsewhere in their pool
     """
 
     machine: str
@@ -49,9 +49,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Surplus:
-    """Machines of one pool, of which some can be given.
+    """Machines of one pool, some of which may leave it.
 
-    :ivar count: how many at most
+    :ivar count: maximum number that may leave
     """
 
     service: ids.ServiceId
@@ -62,7 +62,7 @@
 def decide(
     pools: collections.abc.Iterable[Surplus], wanted: int, now_s: float
 ) -> list[Emptied]:
-    """Choose machines that are empty soonest, up to as many as are wanted."""
+    """Choose up to ``wanted`` machines, those that are drained soonest."""
     rows = []
     for pool in pools:
         rows += _candidates(pool, now_s)
@@ -71,24 +71,24 @@
 
 
 def _candidates(pool: Surplus, now_s: float) -> list:
-    """Give those of a pool that can be emptied, with how soon."""
+    """Return a pool's machines that can be drained, soonest first."""
     rows = []
     for member in pool.members:
-        leave_s = _leave_s(member, now_s)
-        if leave_s is None or leave_s > LONGEST_S:
+        drain_time_s = _drain_time_s(member, now_s)
+        if drain_time_s is None or drain_time_s > MAX_DRAIN_S:
             continue
         tasks = list(member.worker.runs.values())
         emptied = Emptied(
             member.machine,
             [task for task in tasks if _is_stopped(task, now_s)],
         )
-        rows.append((leave_s, _cores(tasks), member.machine, emptied))
+        rows.append((drain_time_s, _cores(tasks), member.machine, emptied))
     rows.sort(key=lambda row: row[:3])
     return rows[: max(0, pool.count)]
 
 
-def _leave_s(member: Member, now_s: float) -> float | None:
-    """Give when a machine can be empty; None if it mustn't be emptied."""
+def _drain_time_s(member: Member, now_s: float) -> float | None:
+    """Return the time to drain a machine; None if it must not be drained."""
     worker = member.worker
     if worker is None or member.fixed or not worker.runs:
         return None
@@ -98,14 +98,14 @@
     for task in worker.runs.values():
         if task.group.step.lasting or task.group.step.gang:
             return None
-        longest_s = max(longest_s, _task_leave_s(task, now_s))
+        longest_s = max(longest_s, _task_drain_time_s(task, now_s))
     return longest_s
 
 
-def _task_leave_s(task: ledgers.Task, now_s: float) -> float:
+def _task_drain_time_s(task: ledgers.Task, now_s: float) -> float:
     left_s = slowness.left_s(task, now_s)
     if task.group.step.checkpoints:
-        return min(left_s, STOP_S)
+        return min(left_s, CHECKPOINTED_STOP_S)
     return left_s
 
 
@@ -114,7 +114,7 @@
         task.group.step.checkpoints
         and task.run is not None
         and task.run.phase is ledgers.RunPhase.RUNNING
-        and slowness.left_s(task, now_s) > STOP_GAIN_S
+        and slowness.left_s(task, now_s) > MIN_STOP_GAIN_S
     )
 
 
--- a/oleanderwood/capacity/rebalancing.py
+++ b/oleanderwood/capacity/rebalancing.py
@@ -1,8 +1,8 @@
-"""Which machines change their pool, ahead of the pools' demand. Pure.
+"""Choose machines to move between pools ahead of their demand.
 
-Load it answers: one pool after another needs more than its share for some
-seconds. Machines without any work go where they will be needed, and to
-standby, where they cost nothing, when no turn is near.
+One pool after another needs more than its share for some seconds. Idle
+machines move to where they will be needed, or to standby, where they cost
+nothing, if no burst is near. The functions have no side effects.
 """
 
 import collections.abc
@@ -16,61 +16,62 @@
 from oleanderwood.policy import model as policies
 from oleanderwood.pools import workers as workers_
 
-FILL = 0.9
-"""Part of a machine's cores that tasks of mixed sizes fill."""
+USABLE_CORES_SHARE = 0.9
+"""Share of a machine's cores that tasks of mixed sizes can fill."""
 
-AHEAD_S = 0.4
-"""How long before a foreseen turn its machines should be there."""
+BURST_LEAD_S = 0.4
+"""How long before a predicted burst its machines should have arrived."""
 
-FORESEEN_PART = 1.0
-"""Part of the last turn's mean that is brought ahead of the next; the rest
-follows the demand. Turns differ, and a machine too many costs twice a move."""
+FORECAST_SHARE = 1.0
+"""Share of the last burst's mean demand that is provided ahead of the next
+one; the rest follows the demand. Bursts differ, and a superfluous machine
+costs two moves."""
 
-IDLE_S = 1.0
-"""Idle time after which a machine may leave its pool; shorter pauses come
-between two steps of one job."""
+MIN_IDLE_S = 1.0
+"""Idle time after which a machine may leave its pool; shorter pauses occur
+between two steps of a job."""
 
-KEEP_NEAR_S = 4.0
-"""A machine isn't sent to standby if its pool's turn comes within this time
-beyond a move: two moves cost as much as 2.3 s in a pool."""
+KEEP_BEFORE_BURST_S = 4.0
+"""A machine isn't sent to standby if its pool's next burst starts within this
+time plus that of a move: two moves cost as much as 2.3 s in a pool."""
 
 SPARE_MACHINES = 1
-"""Machines beyond the demand that a pool keeps for single arrivals."""
+"""Machines beyond its demand that a pool keeps for single arrivals."""
 
-UNSEEN_PART = 0.5
-"""Part of its first machines that a pool keeps beside another's turn until
-its own first may begin; the rest is brought back ahead of it."""
+FIRST_BURST_RESERVE_SHARE = 0.5
+"""Share of its initial machines that a pool keeps during another's burst until
+its own first burst may start; the others are brought back ahead of it."""
 
-YOUNG_TURN_PART = 2.0
-"""What a pool's turn is taken to need until it can be measured, as a part of
-the machines that it had at first. Too few cost the callers of its first
-seconds, too many some seconds of a machine."""
+RAMP_UP_SIZE_FACTOR = 2.0
+"""Expected demand of a burst that can't be measured yet, relative to the
+pool's initial machines. Too few machines delay the callers of its first
+seconds; too many cost some seconds of a machine."""
 
-PREEMPTED_PART = 0.6
-"""Part of its need that a pool keeps while one whose work goes first lacks
-machines; tasks that lose nothing then make room."""
+PREEMPTED_SHARE = 0.6
+"""Share of its need that a pool keeps while a pool of higher priority lacks
+machines; tasks that lose no work then make room."""
 
-HEIGHT_FACTOR = 1.5
-"""Height of a turn over its mean; arrivals of measured ones rose to 1.8 times
-their mean, and work follows them by a second."""
+PEAK_TO_MEAN = 1.5
+"""Peak of a burst relative to its mean. Measured arrivals peaked at 1.8 times
+their mean, and the work follows them a second later."""
 
-ENDED_S = 1.0
-"""Time after a turn's end in which machines stay: a lull, or a store that
-tells nothing for a second, looks like an end."""
+BURST_END_GRACE_S = 1.0
+"""Time after a burst's end for which machines stay: a lull looks like an end,
+and so does a store that reports nothing for a second."""
 
-TURN_IDLE_S = 2.0
-"""Idle time after which a machine leaves a pool in its turn: the busiest
-moment of that time didn't need it, and two moves cost as much as it waits."""
+BURST_IDLE_S = 2.0
+"""Idle time after which a machine leaves a pool during its burst: the peak of
+that time didn't need it, and two moves cost as much as this wait."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Member:
     """A machine of a pool, or on its way to it.
 
-    :ivar worker: None while it is on its way, or off
-    :ivar fixed: it must not move now
-    :ivar labels: of the machine
-    :ivar shrunk_cores: of its cores, those that its worker lacks at present
+    :ivar worker: None while the machine is on its way, or off
+    :ivar fixed: the machine must not move now
+    :ivar unavailable_cores: cores of the machine that its worker can't use at
+        present
     """
 
     machine: str
@@ -78,24 +79,24 @@
     worker: workers_.Worker | None
     fixed: bool = False
     labels: tuple[str, ...] = ()
-    shrunk_cores: float = 0.0
+    unavailable_cores: float = 0.0
 
 
 @dataclasses.dataclass
 class PoolView:
     """One pool.
 
-    :ivar busy_cores: cores of tasks that run, and of those that last
-    :ivar held_cores: of these, cores of tasks that last
-    :ivar waiting: other tasks whose turn has come
-    :ivar first_size: machines that it had at first
-    :ivar min_up: machines that it keeps by an operator's promise
-    :ivar priority: the first of the priorities of its work, but for tasks
-        that last
-    :ivar lacks_kind: a step fits on none of its machines, even idle ones, or
-        one that lasts on none as they are, and another machine might do
+    :ivar busy_cores: cores of running tasks, and of all long-running ones
+    :ivar held_cores: cores of long-running tasks, included in ``busy_cores``
+    :ivar waiting: other tasks that are ready to start
+    :ivar first_size: initial number of machines
+    :ivar min_up: machines that operators have set as its minimum
+    :ivar priority: best priority of its work, long-running tasks excluded
+    :ivar lacks_kind: a step fits on none of its machines even if they are
+        idle, or a long-running one fits on none as they are, and another
+        machine might suit
     :ivar lacks_labels: labels of steps for which the same holds; only a
-        machine with the label might do
+        machine with the label might suit
     """
 
     service: ids.ServiceId
@@ -112,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Move:
-    """A machine's move to a pool."""
+    """A machine's move to another pool."""
 
     machine: str
     source: ids.ServiceId
@@ -122,10 +123,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Need:
-    """Machines that a pool needs.
+    """Number of machines that a pool needs.
 
-    :ivar now: for what it has to do, and what arrives at the present rate
-    :ivar soon: also for a turn that is about to begin
+    :ivar now: for its present work and for arrivals at the current rate
+    :ivar soon: also for a burst that is about to start
     """
 
     now: int
@@ -134,10 +135,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Decision:
-    """What a pass comes to.
+    """The result of a planning pass.
 
     :ivar needs: machines that each pool needs
-    :ivar emptied: busy machines that are emptied for pools that lack some
+    :ivar emptied: busy machines to drain for pools that lack machines
     """
 
     moves: list[Move]
@@ -145,82 +146,91 @@
     emptied: list[draining.Emptied] = dataclasses.field(default_factory=list)
 
 
-def _need(
+def _machines_needed(
     pool: PoolView,
-    turns: demand.Turns,
-    cores_each: float,
+    history: demand.Turns,
+    machine_cores: float,
     move_s: float,
     now_s: float,
 ) -> Need:
-    line = turns.lines.get(pool.service)
+    pool_history = history.by_pool.get(pool.service)
     cores = pool.busy_cores
-    if line is not None:
-        arriving = pool.held_cores + demand.soon_cores(line, now_s)
+    if pool_history is not None:
+        arriving = pool.held_cores + demand.expected_cores(pool_history, now_s)
         cores = max(cores, arriving)
-    cores += backlog.cores(pool.waiting)
+    cores += backlog.required_cores(pool.waiting)
     if pool.waiting:
-        # What a machine lacks is made up for by others, where work waits.
-        cores += sum(member.shrunk_cores for member in pool.members)
-    each = cores_each * FILL
+        # While work waits, other machines replace cores that can't be used.
+        cores += sum(member.unavailable_cores for member in pool.members)
+    each = machine_cores * USABLE_CORES_SHARE
     if not each:
         return Need(0, 0)
     now = math.ceil(cores / each)
-    if line is not None and demand.is_young(line, now_s):
-        now = max(now, _young_machines(pool, turns))
+    if pool_history is not None and demand.is_ramping_up(pool_history, now_s):
+        now = max(now, _ramp_up_machines(pool, history))
     if pool.lacks_kind:
-        # One comes at a time, and those that are there stay meanwhile: sent
-        # away as idle, they came back by turns, 26 times in a day of 90 s.
-        now = max(now, len(pool.members) + (not _is_coming(pool.members)))
+        # One machine comes at a time, and the present ones stay: sent away as
+        # idle, they came back again and again, 26 times in a run of 90 s.
+        now = max(now, len(pool.members) + (not _is_incoming(pool.members)))
     soon = 0
-    turn = demand.next_turn(turns, pool.service, now_s)
-    if turn is not None and _near(turn, now_s, move_s + AHEAD_S):
-        if _turn_is_to_come(turns, pool.service):
-            soon = _young_machines(pool, turns)
+    forecast = demand.next_burst(history, pool.service, now_s)
+    if forecast is not None and _is_near(
+        forecast, now_s, move_s + BURST_LEAD_S
+    ):
+        if _has_had_no_burst(history, pool.service):
+            soon = _ramp_up_machines(pool, history)
         else:
-            foreseen = pool.held_cores + FORESEEN_PART * line.turn_cores
-            soon = math.ceil(foreseen / each)
+            forecast_cores = (
+                pool.held_cores + FORECAST_SHARE * pool_history.burst_cores
+            )
+            soon = math.ceil(forecast_cores / each)
     return Need(now, max(now, soon))
 
 
-def _is_coming(members: collections.abc.Iterable[Member]) -> bool:
+def _is_incoming(members: collections.abc.Iterable[Member]) -> bool:
     return any(member.worker is None for member in members)
 
 
-def _young_machines(pool: PoolView, turns: demand.Turns) -> int:
-    """Give what a turn is taken to need that can't be measured yet.
+def _ramp_up_machines(pool: PoolView, history: demand.Turns) -> int:
+    """Return the expected need for a burst that can't be measured yet.
 
-    Once others were measured, it is taken for as large as they were.
+    Once other bursts were measured, it is expected to be as large as they
+    were.
     """
-    part = YOUNG_TURN_PART
-    seen = demand.largest_part(turns)
+    part = RAMP_UP_SIZE_FACTOR
+    seen = demand.largest_burst_share(history)
     if seen is not None:
-        part = min(part, max(1.0, HEIGHT_FACTOR * seen))
+        part = min(part, max(1.0, PEAK_TO_MEAN * seen))
     return math.ceil(part * pool.first_size)
 
 
-def _near(turn: demand.Foreseen, now_s: float, ahead_s: float) -> bool:
-    """Say whether a foreseen turn is about to begin, or should have."""
-    begins_s = turn.earliest_s - ahead_s
-    return begins_s <= now_s <= turn.latest_s + demand.WINDOW_S
+def _is_near(
+    forecast: demand.BurstForecast, now_s: float, lead_s: float
+) -> bool:
+    """Return whether a predicted burst is about to start, or should have."""
+    begins_s = forecast.earliest_s - lead_s
+    return begins_s <= now_s <= forecast.latest_s + demand.RATE_WINDOW_S
 
 
 def decide(
     pools: collections.abc.Sequence[PoolView],
     standby: dict[ids.ServiceId, list[Member]],
-    turns: demand.Turns,
+    history: demand.Turns,
     move_s: float,
     now_s: float,
     weights: policies.Weights = policies.Weights(),
 ) -> Decision:
-    """Decide moves.
+    """Decide on moves.
 
-    First to pools that lack machines now, if need be from those that keep
-    idle ones for a turn to come; then to pools whose turn is about to begin;
-    then to standby.
+    Pools that lack machines now come first, if necessary from pools that keep
+    idle ones for a later burst. Pools whose burst is about to start come next,
+    then standby.
     """
-    cores_each = _cores_each(pools, standby)
+    machine_cores = _mean_machine_cores(pools, standby)
     wanted = {
-        pool.service: _need(pool, turns, cores_each, move_s, now_s)
+        pool.service: _machines_needed(
+            pool, history, machine_cores, move_s, now_s
+        )
         for pool in pools
     }
     free = _Free(
@@ -230,123 +240,131 @@
             for member in members
             if not member.fixed
         ],
-        _sources(pools, wanted, turns, move_s + AHEAD_S, now_s),
+        _idle_surplus(pools, wanted, history, move_s + BURST_LEAD_S, now_s),
     )
-    near_s = KEEP_NEAR_S * weights.moves / weights.buffer + move_s
+    near_s = KEEP_BEFORE_BURST_S * weights.moves / weights.buffer + move_s
     near = {
         pool.service
         for pool in pools
-        if _turn_is_near(turns, pool.service, near_s, now_s)
+        if _burst_is_near(history, pool.service, near_s, now_s)
     }
-    moves = _to_unlabelled(pools, free)
-    moves += _to_lacking(
+    moves = _moves_for_labels(pools, free)
+    moves += _moves_for_shortfalls(
         pools, {name: need.now for name, need in wanted.items()}, free, set()
     )
-    moves += _to_lacking(
+    moves += _moves_for_shortfalls(
         pools, {name: need.soon for name, need in wanted.items()}, free, near
     )
-    left = {
+    remaining = {
         pool.service: len(pool.members)
         - sum(move.source == pool.service for move in moves)
         for pool in pools
     }
     if standby:
         target = min(standby)
-        for service, member in _resting(
-            pools, turns, free, left, near, near_s, now_s
+        for service, member in _to_standby(
+            pools, history, free, remaining, near, near_s, now_s
         ):
             moves.append(Move(member.machine, service, target, 'idle'))
-            left[service] -= 1
-    emptied = _to_empty(pools, wanted, free, left, now_s)
+            remaining[service] -= 1
+    emptied = _to_drain(pools, wanted, free, remaining, now_s)
     return Decision(moves, wanted, emptied)
 
 
-def _resting(
+def _to_standby(
     pools: collections.abc.Sequence[PoolView],
-    turns: demand.Turns,
+    history: demand.Turns,
     free: '_Free',
-    left: dict[ids.ServiceId, int],
+    remaining: dict[ids.ServiceId, int],
     near: set[ids.ServiceId],
     near_s: float,
     now_s: float,
 ) -> list[tuple[ids.ServiceId, Member]]:
     """Choose idle machines that go to standby.
 
-    A pool keeps its first size while its first turn may begin, and a part of
-    it before.
+    A pool keeps its initial size while its first burst may start, and a share
+    of it before that.
 
-    :param left: members of each pool after the moves that were decided
-    :param near: pools whose next turn comes within ``near_s``
+    :param remaining: members of each pool after the moves decided so far
+    :param near: pools whose next burst starts within ``near_s``
     """
-    spare = dict(left)
+    spare = dict(remaining)
     for pool in pools:
-        if _awaits_first(turns, pool.service, near_s, now_s):
+        if _may_start_first_burst(history, pool.service, near_s, now_s):
             spare[pool.service] -= pool.first_size
-        elif _turn_is_to_come(turns, pool.service):
-            spare[pool.service] -= math.ceil(UNSEEN_PART * pool.first_size)
+        elif _has_had_no_burst(history, pool.service):
+            spare[pool.service] -= math.ceil(
+                FIRST_BURST_RESERVE_SHARE * pool.first_size
+            )
     rows = []
     for service, member in free.idle:
-        rests = _idle_in_turn(turns, service, member, now_s) or (
-            service not in near and _may_rest(turns, service, near_s, now_s)
+        unneeded = _is_unneeded_in_burst(history, service, member, now_s) or (
+            service not in near
+            and _may_go_to_standby(history, service, near_s, now_s)
         )
-        if rests and spare[service] > 0:
+        if unneeded and spare[service] > 0:
             rows.append((service, member))
             spare[service] -= 1
     return rows
 
 
-def _to_empty(
+def _to_drain(
     pools: collections.abc.Sequence[PoolView],
     wanted: dict[ids.ServiceId, Need],
     free: '_Free',
-    left: dict[ids.ServiceId, int],
+    remaining: dict[ids.ServiceId, int],
     now_s: float,
 ) -> list[draining.Emptied]:
-    """Choose busy machines for pools that found too few idle ones.
+    """Choose busy machines to drain for pools that got too few idle ones.
 
-    :param left: members of each pool after the moves that were decided
+    :param remaining: members of each pool after the moves decided so far
     """
     lacking = {}
     for pool in pools:
-        lack = _lack(pool, wanted[pool.service].now, free)
-        if lack > 0:
-            lacking[pool.service] = lack
+        shortfall = _shortfall(pool, wanted[pool.service].now, free)
+        if shortfall > 0:
+            lacking[pool.service] = shortfall
     first = min(
         (pool.priority for pool in pools if pool.service in lacking),
         default=math.inf,
     )
     surplus = []
     for pool in pools:
-        kept = wanted[pool.service].now + SPARE_MACHINES
+        reserved = wanted[pool.service].now + SPARE_MACHINES
         if pool.priority > first:
-            kept = math.ceil(PREEMPTED_PART * kept)
-        spare = left[pool.service] - max(pool.min_up, kept)
+            reserved = math.ceil(PREEMPTED_SHARE * reserved)
+        spare = remaining[pool.service] - max(pool.min_up, reserved)
         surplus.append(draining.Surplus(pool.service, pool.members, spare))
     return draining.decide(surplus, sum(lacking.values()), now_s)
 
 
 @dataclasses.dataclass
 class _Free:
-    """Machines that may move: on standby, and idle in their pools."""
+    """Machines that may move: on standby, and idle in their pools.
+
+    :ivar incoming: machines already assigned to each pool in this pass
+    """
 
-    resting: list[tuple[ids.ServiceId, Member]]
+    on_standby: list[tuple[ids.ServiceId, Member]]
     idle: list[tuple[ids.ServiceId, Member]]
-    coming: dict[ids.ServiceId, int] = dataclasses.field(default_factory=dict)
+    incoming: dict[ids.ServiceId, int] = dataclasses.field(
+        default_factory=dict
+    )
 
 
-def _lack(pool: PoolView, wanted: int, free: _Free) -> int:
-    """Give how many machines a pool lacks beside those that it gets."""
-    return wanted - len(pool.members) - free.coming.get(pool.service, 0)
+def _shortfall(pool: PoolView, wanted: int, free: _Free) -> int:
+    """Return how many more machines a pool needs than it was assigned."""
+    return wanted - len(pool.members) - free.incoming.get(pool.service, 0)
 
 
-def _turn_is_near(
-    turns: demand.Turns, service: ids.ServiceId, near_s: float, now_s: float
+def _burst_is_near(
+    history: demand.Turns, service: ids.ServiceId, near_s: float, now_s: float
 ) -> bool:
-    turn = demand.next_turn(turns, service, now_s)
-    return turn is not None and _near(turn, now_s, near_s)
+    forecast = demand.next_burst(history, service, now_s)
+    return forecast is not None and _is_near(forecast, now_s, near_s)
 
 
-def _cores_each(pools, standby) -> float:
+def _mean_machine_cores(pools, standby) -> float:
     members = [member for pool in pools for member in pool.members]
     members += [member for rows in standby.values() for member in rows]
     if not members:
@@ -354,26 +372,26 @@
     return sum(member.cores for member in members) / len(members)
 
 
-def _sources(
+def _idle_surplus(
     pools: collections.abc.Sequence[PoolView],
     wanted: dict[ids.ServiceId, Need],
-    turns: demand.Turns,
+    history: demand.Turns,
     near_s: float,
     now_s: float,
 ) -> list[tuple[ids.ServiceId, Member]]:
-    """Give idle machines beyond what their pools need now, idlest first."""
+    """Return idle machines that their pools can spare, longest idle first."""
     rows = []
     for pool in pools:
-        kept = max(pool.min_up, wanted[pool.service].now + SPARE_MACHINES)
-        if _awaits_first(turns, pool.service, near_s, now_s):
-            kept = max(kept, pool.first_size)
-        # Machines on their way count as coming, but keep no promise yet.
+        reserved = max(pool.min_up, wanted[pool.service].now + SPARE_MACHINES)
+        if _may_start_first_burst(history, pool.service, near_s, now_s):
+            reserved = max(reserved, pool.first_size)
+        # Machines on their way count as members, but not towards ``min_up``.
         up = sum(member.worker is not None for member in pool.members)
-        surplus = min(len(pool.members) - kept, up - pool.min_up)
+        surplus = min(len(pool.members) - reserved, up - pool.min_up)
         idle = [
             member
             for member in pool.members
-            if _movable(member, now_s)
+            if _is_movable(member, now_s)
             and pool.lacks_labels.isdisjoint(member.labels)
         ]
         idle.sort(key=lambda member: member.worker.idle_since_s)
@@ -382,54 +400,54 @@
     return rows
 
 
-def _turn_is_to_come(turns: demand.Turns, service: ids.ServiceId) -> bool:
-    """Say whether a pool that takes turns hasn't had its first."""
-    line = turns.lines.get(service)
-    seen = line is not None and bool(line.starts_s)
-    return service in turns.pools and not seen
+def _has_had_no_burst(history: demand.Turns, service: ids.ServiceId) -> bool:
+    """Return whether a pool that has bursts is still before its first."""
+    pool_history = history.by_pool.get(service)
+    seen = pool_history is not None and bool(pool_history.starts_s)
+    return service in history.pools and not seen
 
 
-def _awaits_first(
-    turns: demand.Turns, service: ids.ServiceId, near_s: float, now_s: float
+def _may_start_first_burst(
+    history: demand.Turns, service: ids.ServiceId, near_s: float, now_s: float
 ) -> bool:
-    """Say whether a pool's first turn may begin before a machine can come.
+    """Return whether a pool's first burst may start before machines arrive.
 
-    One pool has its turn at a time: while the present one is young, others
-    may borrow.
+    Bursts of pools follow one another: while another pool's burst is recent,
+    the pool's machines may be lent.
     """
-    if not _turn_is_to_come(turns, service):
+    if not _has_had_no_burst(history, service):
         return False
-    if turns.last_start_s is None:
+    if history.last_start_s is None:
         return True
-    turn = demand.next_turn(turns, service, now_s)
-    if turn is not None:
-        return _near(turn, now_s, near_s)
-    return not turns.lines[turns.last_pool].in_turn
+    forecast = demand.next_burst(history, service, now_s)
+    if forecast is not None:
+        return _is_near(forecast, now_s, near_s)
+    return not history.by_pool[history.last_burst_pool].in_burst
 
 
-def _movable(member: Member, now_s: float) -> bool:
+def _is_movable(member: Member, now_s: float) -> bool:
     worker = member.worker
     if worker is None or member.fixed or worker.runs:
         return False
     if worker.emptying:
         return True
     idle_s = now_s - worker.idle_since_s
-    return workers_.accepts(worker, now_s) and idle_s >= IDLE_S
+    return workers_.accepts(worker, now_s) and idle_s >= MIN_IDLE_S
 
 
-def _to_unlabelled(
+def _moves_for_labels(
     pools: collections.abc.Sequence[PoolView], free: _Free
 ) -> list[Move]:
-    """Move a machine to each pool that lacks a label, one at a time.
+    """Move one machine at a time to each pool that lacks a label.
 
-    Any machine in its place would stay without use: two pools that each held
-    the kind of the other waited for good.
+    A machine without the label would be of no use: two pools that each held
+    the kind that the other needed waited forever.
     """
     moves = []
     for pool in pools:
         for label in sorted(pool.lacks_labels):
             having = [row for row in pool.members if label in row.labels]
-            if _is_coming(having):
+            if _is_incoming(having):
                 continue
             taken = _take_labelled(free, pool.service, label)
             if taken is not None:
@@ -437,8 +455,8 @@
                 moves.append(
                     Move(member.machine, source, pool.service, 'labelled')
                 )
-                free.coming[pool.service] = (
-                    free.coming.get(pool.service, 0) + 1
+                free.incoming[pool.service] = (
+                    free.incoming.get(pool.service, 0) + 1
                 )
     return moves
 
@@ -446,8 +464,8 @@
 def _take_labelled(
     free: _Free, target: ids.ServiceId, label: str
 ) -> tuple[ids.ServiceId, Member] | None:
-    """Take a machine with a label, from standby if there is one."""
-    for rows in (free.resting, free.idle):
+    """Take a machine with a label, preferably from standby."""
+    for rows in (free.on_standby, free.idle):
         for row in rows:
             if row[0] != target and label in row[1].labels:
                 rows.remove(row)
@@ -455,70 +473,72 @@
     return None
 
 
-def _to_lacking(
+def _moves_for_shortfalls(
     pools: collections.abc.Sequence[PoolView],
     wanted: dict[ids.ServiceId, int],
     free: _Free,
-    spared: set[ids.ServiceId],
+    protected: set[ids.ServiceId],
 ) -> list[Move]:
-    """Move machines to pools that lack them, the neediest first.
+    """Move machines to the pools that lack them, the largest shortfall first.
 
-    :param spared: pools that keep their idle machines
+    :param protected: pools that keep their idle machines
     """
-    lacks = {
-        pool.service: _lack(pool, wanted[pool.service], free) for pool in pools
+    shortfalls = {
+        pool.service: _shortfall(pool, wanted[pool.service], free)
+        for pool in pools
     }
     moves = []
-    while lacks:
-        service = max(lacks, key=lambda name: lacks[name])
-        if lacks[service] <= 0:
+    while shortfalls:
+        service = max(shortfalls, key=lambda name: shortfalls[name])
+        if shortfalls[service] <= 0:
             break
-        taken = _take(free, service, spared)
+        taken = _take(free, service, protected)
         if taken is None:
-            del lacks[service]
+            del shortfalls[service]
             continue
         source, member = taken
         moves.append(Move(member.machine, source, service, 'needed'))
-        free.coming[service] = free.coming.get(service, 0) + 1
-        lacks[service] -= 1
+        free.incoming[service] = free.incoming.get(service, 0) + 1
+        shortfalls[service] -= 1
     return moves
 
 
 def _take(
-    free: _Free, target: ids.ServiceId, spared: set[ids.ServiceId]
+    free: _Free, target: ids.ServiceId, protected: set[ids.ServiceId]
 ) -> tuple[ids.ServiceId, Member] | None:
-    """Take a machine from standby, else an idle one of another pool."""
-    if free.resting:
-        return free.resting.pop(0)
+    """Take a machine from standby, otherwise an idle one of another pool."""
+    if free.on_standby:
+        return free.on_standby.pop(0)
     for row in free.idle:
-        if row[0] != target and row[0] not in spared:
+        if row[0] != target and row[0] not in protected:
             free.idle.remove(row)
             return row
     return None
 
 
-def _idle_in_turn(
-    turns: demand.Turns, service: ids.ServiceId, member: Member, now_s: float
+def _is_unneeded_in_burst(
+    history: demand.Turns, service: ids.ServiceId, member: Member, now_s: float
 ) -> bool:
-    """Say whether a pool in its turn doesn't need an idle machine."""
-    line = turns.lines.get(service)
-    if line is None or not line.in_turn:
+    """Return whether a pool during its burst doesn't need an idle machine."""
+    pool_history = history.by_pool.get(service)
+    if pool_history is None or not pool_history.in_burst:
         return False
-    return now_s - member.worker.idle_since_s >= TURN_IDLE_S
+    return now_s - member.worker.idle_since_s >= BURST_IDLE_S
 
 
-def _may_rest(
-    turns: demand.Turns, service: ids.ServiceId, near_s: float, now_s: float
+def _may_go_to_standby(
+    history: demand.Turns, service: ids.ServiceId, near_s: float, now_s: float
 ) -> bool:
-    """Say whether a pool's idle machines aren't needed for some time."""
-    if _turn_is_to_come(turns, service):
-        # What is kept for it is no surplus; while another pool has its turn
-        # the rest may go.
-        return turns.last_start_s is not None
-    begin_s = demand.earliest_turn_s(turns, service, now_s)
-    line = turns.lines.get(service)
-    if begin_s is None or line is None or line.in_turn:
+    """Return whether a pool's idle machines aren't needed for some time."""
+    if _has_had_no_burst(history, service):
+        # The reserve for its first burst isn't counted as surplus; other
+        # machines may go once any pool has had a burst.
+
+        return history.last_start_s is not None
+    begin_s = demand.earliest_burst_s(history, service, now_s)
+    pool_history = history.by_pool.get(service)
+    if begin_s is None or pool_history is None or pool_history.in_burst:
         return False
-    if now_s - line.ended_s < ENDED_S:
+    if now_s - pool_history.ended_s < BURST_END_GRACE_S:
         return False
     return begin_s - now_s > near_s
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -1,4 +1,4 @@
-"""Tests of how many cores a pool's waiting work asks for."""
+"""Tests of how many cores a pool's waiting work needs."""
 
 import hypothesis
 from hypothesis import strategies
@@ -8,31 +8,31 @@
 
 def test_work_with_time_to_spare_needs_fewer_cores():
     urgent = backlog.Waiting(cores=100.0, length_s=2.0, left_s=2.0)
-    patient = backlog.Waiting(cores=100.0, length_s=2.0, left_s=8.0)
-    assert backlog.cores([urgent]) == 100.0
-    assert backlog.cores([patient]) == 25.0
+    deferrable = backlog.Waiting(cores=100.0, length_s=2.0, left_s=8.0)
+    assert backlog.required_cores([urgent]) == 100.0
+    assert backlog.required_cores([deferrable]) == 25.0
 
 
-def test_the_time_that_asks_most_decides():
+def test_the_deadline_that_needs_most_cores_decides():
     rows = [
         backlog.Waiting(cores=60.0, length_s=2.0, left_s=2.0),
         backlog.Waiting(cores=60.0, length_s=2.0, left_s=8.0),
     ]
-    assert backlog.cores(rows) == 60.0
+    assert backlog.required_cores(rows) == 60.0
 
 
 def test_late_work_asks_for_no_more_than_it_can_use():
     late = backlog.Waiting(cores=80.0, length_s=3.0, left_s=-4.0)
-    assert backlog.cores([late]) == 80.0
+    assert backlog.required_cores([late]) == 80.0
 
 
 def test_short_work_counts_by_the_time_machines_take_to_come():
     row = backlog.Waiting(cores=90.0, length_s=0.5, left_s=0.4)
-    assert backlog.cores([row]) == 90.0 * 0.5 / backlog.LEAST_LEFT_S
+    assert backlog.required_cores([row]) == 90.0 * 0.5 / backlog.MIN_LEFT_S
 
 
 def test_nothing_waiting_asks_for_nothing():
-    assert backlog.cores([]) == 0.0
+    assert backlog.required_cores([]) == 0.0
 
 
 ROWS = strategies.lists(
@@ -48,9 +48,14 @@
 
 @hypothesis.given(ROWS)
 def test_never_more_than_all_at_once(rows):
-    assert backlog.cores(rows) <= sum(row.cores for row in rows) + 1e-6
+    assert (
+        backlog.required_cores(rows) <= sum(row.cores for row in rows) + 1e-6
+    )
 
 
 @hypothesis.given(ROWS, ROWS)
 def test_more_work_never_asks_for_less(some, more):
-    assert backlog.cores(some + more) >= backlog.cores(some) - 1e-6
+    assert (
+        backlog.required_cores(some + more)
+        >= backlog.required_cores(some) - 1e-6
+    )
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Tests of which busy machines are emptied for another pool."""
+"""Tests of which busy machines are drained for another pool."""
 
 from oleanderwood.capacity import draining
 from oleanderwood.capacity import rebalancing
@@ -10,9 +10,9 @@
 
 
 def _member(name, *tasks, fixed=False):
-    """Build a machine that runs a job with these tasks, all begun lately.
+    """Build a machine that runs one job for each task, all started recently.
 
-    :param tasks: what differs of each task's step
+    :param tasks: fields in which each task's step differs from the default
     """
     worker = build.worker(f'w-{name}')
     for number, fields in enumerate(tasks):
@@ -37,7 +37,7 @@
 SHORT = {'guess_ms': 700.0}
 
 
-def test_task_that_saves_its_progress_makes_room_at_once():
+def test_task_with_checkpoints_makes_room_at_once():
     (emptied,) = _decide([_member('m1', SAVED)])
     assert [task.name for task in emptied.stops] == ['m1-0.0.0.0']
 
@@ -55,8 +55,8 @@
 
 
 def test_long_running_tasks_hold_their_machine():
-    lasting = {'lasting': True, 'checkpoints': True}
-    assert _names([_member('m1', lasting, SAVED)]) == []
+    long_lived = {'lasting': True, 'checkpoints': True}
+    assert _names([_member('m1', long_lived, SAVED)]) == []
 
 
 def test_gangs_hold_their_machine():
@@ -90,7 +90,7 @@
     assert _names(members, wanted=1) == chosen == ['m1']
 
 
-def test_pool_in_need_gets_machines_that_a_past_turn_holds():
+def test_pool_in_need_gets_machines_that_a_past_burst_holds():
     past = rebalancing.PoolView(
         ids.ServiceId('past'),
         [_member(f'p{i}', {**SAVED, 'cpu': 500}) for i in range(6)],
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -1,4 +1,4 @@
-"""Tests of foreseen turns and of machines that change their pool."""
+"""Tests of predicted bursts and of machines that change their pool."""
 
 from emulator import day
 from oleanderwood.capacity import backlog
@@ -8,74 +8,74 @@
 from oleanderwood.policy import model as policies
 from tests import utils_jobs as build
 
-TURN_S = 4.0
+BURST_S = 4.0
 MOVE_S = 1.5
 POOLS = ('a', 'b', 'c')
 OFF = ids.ServiceId('off')
 
 
-def _play(turns, until_s, from_s=0.0, per_s=5.0, core_s=20.0):
-    """Let the pools take turns, each at a steady rate."""
+def _record_bursts(history, until_s, from_s=0.0, per_s=5.0, core_s=20.0):
+    """Record arrivals of pools that have bursts in rotation, at one rate."""
     count = int((until_s - from_s) * per_s)
     for number in range(count):
         at_s = from_s + number / per_s
-        pool = POOLS[int(at_s / TURN_S) % len(POOLS)]
-        demand.note(turns, pool, at_s, core_s)
+        pool = POOLS[int(at_s / BURST_S) % len(POOLS)]
+        demand.note(history, pool, at_s, core_s)
 
 
-def test_turn_is_noticed_within_its_first_second():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 5.0)
-    assert turns.lines['b'].in_turn
-    assert turns.lines['b'].starts_s[0] <= 5.0
+def test_burst_is_detected_within_its_first_second():
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 5.0)
+    assert history.by_pool['b'].in_burst
+    assert history.by_pool['b'].starts_s[0] <= 5.0
 
 
-def test_turn_ends_when_nothing_arrives():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 4.0)
-    demand.update(turns, 'a', 6.0)
-    assert not turns.lines['a'].in_turn
+def test_burst_ends_when_nothing_arrives():
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 4.0)
+    demand.update(history, 'a', 6.0)
+    assert not history.by_pool['a'].in_burst
 
 
-def test_turn_is_foreseen_by_when_it_began_and_not_was_noticed():
-    turns = demand.Turns(pools=frozenset(POOLS), pool_cores={'b': 400.0})
+def test_burst_is_predicted_from_its_start_and_not_its_detection():
+    history = demand.Turns(pools=frozenset(POOLS), pool_cores={'b': 400.0})
     for number in range(40):
-        demand.note(turns, 'a', number * 0.2, 20.0)
+        demand.note(history, 'a', number * 0.2, 20.0)
     # Large jobs, first one and then two a second.
     for at_s in (8.0, 9.0, 9.6, 10.1, 10.4, 10.6):
-        demand.note(turns, 'b', at_s, 60.0)
-    assert turns.lines['b'].starts_s == [8.0]
-    assert turns.gaps_s == [8.0]
+        demand.note(history, 'b', at_s, 60.0)
+    assert history.by_pool['b'].starts_s == [8.0]
+    assert history.start_gaps_s == [8.0]
 
 
-def test_next_turn_is_foreseen_after_one_cycle():
-    turns = demand.Turns(pools=frozenset(POOLS))
+def test_next_burst_is_predicted_after_one_cycle():
+    history = demand.Turns(pools=frozenset(POOLS))
     now_s = 11.0
-    _play(turns, now_s)
-    first = demand.next_turn(turns, 'a', now_s)
-    second = demand.next_turn(turns, 'b', now_s)
+    _record_bursts(history, now_s)
+    first = demand.next_burst(history, 'a', now_s)
+    second = demand.next_burst(history, 'b', now_s)
     assert abs(first.earliest_s - 12.0) < 1.0
     assert abs(second.earliest_s - 16.0) < 1.5
 
 
-def test_nothing_is_foreseen_before_a_cycle_is_seen():
-    turns = demand.Turns(pools=frozenset(POOLS))
+def test_nothing_is_predicted_before_a_cycle_is_seen():
+    history = demand.Turns(pools=frozenset(POOLS))
     now_s = 3.0
-    _play(turns, now_s)
-    assert demand.next_turn(turns, 'a', now_s) is None
+    _record_bursts(history, now_s)
+    assert demand.next_burst(history, 'a', now_s) is None
 
 
-def test_single_arrivals_are_no_turn():
-    turns = demand.Turns(pools=frozenset(POOLS))
+def test_single_arrivals_are_no_burst():
+    history = demand.Turns(pools=frozenset(POOLS))
     for number in range(10):
-        demand.note(turns, 'a', number * 3.0, 20.0)
-    assert not turns.lines['a'].in_turn
+        demand.note(history, 'a', number * 3.0, 20.0)
+    assert not history.by_pool['a'].in_burst
 
 
-def test_present_rate_gives_the_cores_it_keeps_busy():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 3.0)
-    cores = demand.present_cores(turns.lines['a'], 2.9)
+def test_current_rate_gives_the_cores_it_keeps_busy():
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 3.0)
+    cores = demand.current_cores(history.by_pool['a'], 2.9)
     assert 80.0 <= cores <= 120.0
 
 
@@ -88,7 +88,7 @@
     return rebalancing.Member(name, 8.0, worker, fixed)
 
 
-def _resting(*names):
+def _standby(*names):
     return {OFF: [rebalancing.Member(name, 8.0, None) for name in names]}
 
 
@@ -98,9 +98,9 @@
     )
 
 
-def _decide(pools, standby=None, turns=None, now_s=10.0):
+def _decide(pools, standby=None, history=None, now_s=10.0):
     return rebalancing.decide(
-        pools, standby or {}, turns or demand.Turns(), MOVE_S, now_s
+        pools, standby or {}, history or demand.Turns(), MOVE_S, now_s
     ).moves
 
 
@@ -109,7 +109,7 @@
         _pool('a', [_member('m1', busy=True)], busy_cores=16.0),
         _pool('b', [_member(f'n{i}') for i in range(5)]),
     ]
-    moves = _decide(pools, _resting('s1', 's2'))
+    moves = _decide(pools, _standby('s1', 's2'))
     needed = [move.machine for move in moves if move.why == 'needed']
     assert needed == ['s1', 's2']
 
@@ -142,12 +142,12 @@
     assert not _decide(pools)
 
 
-def test_idle_machines_rest_only_when_their_turn_is_far():
-    turns = demand.Turns(pools=frozenset(POOLS))
+def test_idle_machines_go_to_standby_only_if_their_burst_is_far():
+    history = demand.Turns(pools=frozenset(POOLS))
     now_s = 18.0
-    _play(turns, now_s)
+    _record_bursts(history, now_s)
     for pool in POOLS:
-        demand.update(turns, pool, 16.8)
+        demand.update(history, pool, 16.8)
     pools = [
         _pool(
             name,
@@ -155,68 +155,69 @@
         )
         for name in ('a', 'c')
     ]
-    moves = _decide(pools, {OFF: []}, turns, now_s=now_s)
-    resting = {move.source for move in moves if move.why == 'idle'}
-    assert resting == {'a'}
+    moves = _decide(pools, {OFF: []}, history, now_s=now_s)
+    sent_to_standby = {move.source for move in moves if move.why == 'idle'}
+    assert sent_to_standby == {'a'}
 
 
-def test_machines_come_ahead_of_a_foreseen_turn():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 10.9)
+def test_machines_arrive_ahead_of_a_predicted_burst():
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 10.9)
     pools = [_pool('a', [_member('m1')])]
-    moves = _decide(pools, _resting('s1', 's2', 's3'), turns, now_s=10.9)
+    moves = _decide(pools, _standby('s1', 's2', 's3'), history, now_s=10.9)
     assert [move.target for move in moves] == ['a'] * 3
 
 
-def test_lull_within_a_turn_begins_no_other():
-    turns = demand.Turns(pools=frozenset(POOLS))
+def test_lull_within_a_burst_starts_no_other():
+    history = demand.Turns(pools=frozenset(POOLS))
     for at_s in (0.0, 0.2, 0.4, 0.6, 3.0, 3.2, 3.4, 6.4, 6.6, 6.8):
-        demand.note(turns, 'a', at_s, 20.0)
-    assert len(turns.lines['a'].starts_s) == 1
-    assert demand.next_turn(turns, 'a', 7.0) is None
+        demand.note(history, 'a', at_s, 20.0)
+    assert len(history.by_pool['a'].starts_s) == 1
+    assert demand.next_burst(history, 'a', 7.0) is None
 
 
-def _lending(turns, now_s):
-    """Give how many of six machines a pool lends that had no turn yet."""
+def _count_lent(history, now_s):
+    """Count how many of six machines a pool lends before its first burst."""
     members = [_member(f'n{i}', now_s=now_s) for i in range(6)]
     lacking = _pool('a', [_member('m1', busy=True)], busy_cores=90.0)
     other = _pool('b', members)
     other.first_size = 6
-    moves = _decide([lacking, other], turns=turns, now_s=now_s)
+    moves = _decide([lacking, other], history=history, now_s=now_s)
     return len([move for move in moves if move.source == 'b'])
 
 
-def test_pool_lends_machines_while_another_has_its_turn():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 2.0)
-    assert _lending(turns, 2.0) == 5
+def test_pool_lends_machines_during_a_burst_of_another():
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 2.0)
+    assert _count_lent(history, 2.0) == 5
 
 
-def test_pool_keeps_its_machines_when_its_first_turn_may_begin():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 2.0)
-    demand.update(turns, 'a', 4.0)
-    # The turn of a is over, and another follows; which one isn't known.
-    assert _lending(turns, 4.0) == 0
+def test_pool_keeps_its_machines_when_its_first_burst_may_start():
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 2.0)
+    demand.update(history, 'a', 4.0)
+    # The burst of pool a is over, and another pool follows; which one is
+    # unknown.
+    assert _count_lent(history, 4.0) == 0
 
 
-def test_pool_keeps_its_machines_once_turns_are_as_old_as_others_became():
-    turns = demand.Turns(pools=frozenset((*POOLS, 'd')))
+def test_pool_keeps_its_machines_once_a_burst_is_as_long_as_others():
+    history = demand.Turns(pools=frozenset((*POOLS, 'd')))
     for pool, start_s in (('c', 0.0), ('d', 8.0)):
         for number in range(30):
-            demand.note(turns, pool, start_s + number * 0.2, 20.0)
-    began_s = turns.lines['d'].starts_s[0]
-    assert _lending(turns, began_s + 4.0) == 5
-    assert _lending(turns, began_s + 7.0) == 0
+            demand.note(history, pool, start_s + number * 0.2, 20.0)
+    began_s = history.by_pool['d'].starts_s[0]
+    assert _count_lent(history, began_s + 4.0) == 5
+    assert _count_lent(history, began_s + 7.0) == 0
 
 
-def test_present_need_goes_before_a_foreseen_turn():
-    turns = demand.Turns(pools=frozenset(POOLS))
+def test_present_need_goes_before_a_predicted_burst():
+    history = demand.Turns(pools=frozenset(POOLS))
     now_s = 23.0
-    _play(turns, now_s)
+    _record_bursts(history, now_s)
     waiting = _pool('a', [_member(f'n{i}', now_s=now_s) for i in range(4)])
     lacking = _pool('c', [_member('m1', busy=True)], busy_cores=90.0)
-    moves = _decide([waiting, lacking], turns=turns, now_s=now_s)
+    moves = _decide([waiting, lacking], history=history, now_s=now_s)
     assert moves and all(move.target == 'c' for move in moves)
 
 
@@ -227,66 +228,67 @@
     assert len(_decide([lacking, other])) == 1
 
 
-def test_weights_say_how_long_an_idle_machine_waits_for_its_turn():
-    turns = demand.Turns(pools=frozenset(POOLS))
+def test_weights_set_how_long_an_idle_machine_waits_for_a_burst():
+    history = demand.Turns(pools=frozenset(POOLS))
     now_s = 18.0
-    _play(turns, now_s)
+    _record_bursts(history, now_s)
     for pool in POOLS:
-        demand.update(turns, pool, 16.8)
+        demand.update(history, pool, 16.8)
     members = [_member(f'a{i}', now_s=now_s, idle_s=3.0) for i in range(4)]
 
-    def resting(**weights):
+    def sent_to_standby(**weights):
         decision = rebalancing.decide(
             [_pool('a', members)],
             {OFF: []},
-            turns,
+            history,
             MOVE_S,
             now_s,
             policies.Weights(**weights),
         )
         return len(decision.moves)
 
-    assert resting() == 3
-    assert resting(moves=2.0) == 0
-    assert resting(moves=2.0, buffer=2.0) == 3
+    assert sent_to_standby() == 3
+    assert sent_to_standby(moves=2.0) == 0
+    assert sent_to_standby(moves=2.0, buffer=2.0) == 3
 
 
-def test_first_turn_brings_machines_before_it_can_be_measured():
-    turns = demand.Turns(pools=frozenset(POOLS))
+def test_first_burst_gets_machines_before_it_can_be_measured():
+    history = demand.Turns(pools=frozenset(POOLS))
     for at_s in (0.0, 0.2, 0.3):
-        demand.note(turns, 'a', at_s, 20.0)
-    assert turns.lines['a'].in_turn
+        demand.note(history, 'a', at_s, 20.0)
+    assert history.by_pool['a'].in_burst
     pool = _pool('a', [_member(f'm{i}') for i in range(6)], busy_cores=20.0)
     pool.first_size = 6
-    rest = _resting(*(f's{i}' for i in range(9)))
-    moves = _decide([pool], rest, turns, now_s=0.4)
-    # Turns that were measured asked for up to twice of what a pool had.
+    rest = _standby(*(f's{i}' for i in range(9)))
+    moves = _decide([pool], rest, history, now_s=0.4)
+    # Measured bursts needed up to twice the initial machines of a pool.
     assert [move.target for move in moves] == ['a'] * 6
 
 
-def test_turn_that_can_be_measured_goes_by_its_measure():
-    turns = demand.Turns(pools=frozenset('a'))
+def test_burst_that_can_be_measured_is_sized_by_measurement():
+    history = demand.Turns(pools=frozenset('a'))
     for number in range(30):
-        demand.note(turns, 'a', number * 0.2, 4.0)
+        demand.note(history, 'a', number * 0.2, 4.0)
     pool = _pool('a', [_member(f'm{i}') for i in range(6)], busy_cores=20.0)
     pool.first_size = 6
-    assert turns.lines['a'].in_turn
-    assert not _decide([pool], _resting('s1', 's2'), turns, now_s=5.9)
+    assert history.by_pool['a'].in_burst
+    assert not _decide([pool], _standby('s1', 's2'), history, now_s=5.9)
 
 
 def test_one_huge_job_does_not_count_as_a_rate():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 3.0)
-    before = demand.soon_cores(turns.lines['a'], 3.0)
-    demand.note(turns, 'a', 3.0, 400.0)
-    after = demand.soon_cores(turns.lines['a'], 3.0)
-    # Sizes of jobs differ by several times; 400 of 300 core seconds came.
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 3.0)
+    before = demand.expected_cores(history.by_pool['a'], 3.0)
+    demand.note(history, 'a', 3.0, 400.0)
+    after = demand.expected_cores(history.by_pool['a'], 3.0)
+    # Sizes of jobs differ by several times; this job of 400 core-seconds came
+    # after 300 core-seconds in all.
     assert after < 2.5 * before
 
 
-def test_machine_that_a_turn_did_not_need_for_a_while_rests():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 3.5)
+def test_machine_that_a_burst_did_not_need_goes_to_standby():
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 3.5)
     now_s = 3.5
     busy = [_member(f'b{i}', busy=True) for i in range(14)]
     waiting = [
@@ -296,27 +298,27 @@
     moves = _decide(
         [_pool('a', [*busy, *waiting], busy_cores=20.0)],
         {OFF: []},
-        turns,
+        history,
         now_s,
     )
     assert sorted(move.machine for move in moves) == ['w2', 'w3']
 
 
-def test_turn_that_did_not_come_keeps_no_machine():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 11.9)
+def test_burst_that_did_not_come_keeps_no_machine():
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 11.9)
     for pool in POOLS:
-        demand.update(turns, pool, 14.0)
-    assert demand.next_turn(turns, 'a', 12.5) is not None
-    assert demand.next_turn(turns, 'a', 18.0) is None
+        demand.update(history, pool, 14.0)
+    assert demand.next_burst(history, 'a', 12.5) is not None
+    assert demand.next_burst(history, 'a', 18.0) is None
     members = [_member(f'a{i}', now_s=18.0) for i in range(3)]
-    moves = _decide([_pool('a', members)], {OFF: []}, turns, now_s=18.0)
+    moves = _decide([_pool('a', members)], {OFF: []}, history, now_s=18.0)
     assert [move.why for move in moves] == ['idle', 'idle']
 
 
 def test_first_size_is_not_taken_from_a_list_that_is_still_filling():
-    # Ten machines come up one after another; a leader that had noted the
-    # first list kept nothing for a pool's first turn.
+    # Ten machines come up one after another; a leader that took the initial
+    # sizes from the first list reserved nothing for a pool's first burst.
     result = day.play(
         day.Plan(3, machines_a_pool=5, lead_s=6.0, jobs_per_s=0.5)
     )
@@ -328,131 +330,136 @@
     assert not moved
 
 
-def _rests_beside_a_turn(now_s, ended_s=None):
-    """Give how many of eight idle machines rest of a pool that began with six
-    and had no turn yet.
+def _count_sent_to_standby(now_s, ended_s=None):
+    """Count how many of eight idle machines a pool sends to standby.
+
+    The pool had six machines at first, and no burst yet.
     """
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, min(now_s, 3.0))
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, min(now_s, 3.0))
     if ended_s is not None:
-        demand.update(turns, 'a', ended_s)
+        demand.update(history, 'a', ended_s)
     pool = _pool('b', [_member(f'n{i}', now_s=now_s) for i in range(8)])
     pool.first_size = 6
-    return len(_decide([pool], {OFF: []}, turns, now_s=now_s))
+    return len(_decide([pool], {OFF: []}, history, now_s=now_s))
 
 
-def test_pool_rests_down_to_half_while_another_has_its_turn():
-    assert _rests_beside_a_turn(3.0) == 5
+def test_pool_shrinks_to_half_during_a_burst_of_another():
+    assert _count_sent_to_standby(3.0) == 5
 
 
-def test_pool_keeps_its_first_machines_when_its_turn_may_begin():
-    # The other's turn is over; more than six would be beyond its first size.
-    assert _rests_beside_a_turn(5.0, ended_s=5.0) <= 2
+def test_pool_keeps_its_first_machines_when_its_burst_may_start():
+    # The other pool's burst is over; of eight machines, six are the initial
+    # size.
+    assert _count_sent_to_standby(5.0, ended_s=5.0) <= 2
 
 
-def test_first_turn_is_taken_for_as_large_as_others_were():
-    turns = demand.Turns(
+def test_first_burst_is_expected_to_be_as_large_as_others():
+    history = demand.Turns(
         pools=frozenset(POOLS), pool_cores={'a': 100.0, 'b': 48.0}
     )
-    _play(turns, 4.0)
+    _record_bursts(history, 4.0)
     for at_s in (4.0, 4.1, 4.2, 4.3):
-        demand.note(turns, 'b', at_s, 20.0)
-    # A turn of 80 to 100 cores on a pool of 100; b has six machines of eight.
-    seen = demand.largest_part(turns)
+        demand.note(history, 'b', at_s, 20.0)
+    # A burst of 80 to 100 cores on a pool of 100; pool b has six machines of
+    # eight cores.
+    seen = demand.largest_burst_share(history)
     assert 0.7 < seen < 1.2
     pool = _pool('b', [_member(f'm{i}') for i in range(6)], busy_cores=9.0)
     pool.first_size = 6
-    rest = _resting(*(f's{i}' for i in range(9)))
-    moves = _decide([pool], rest, turns, now_s=4.3)
+    rest = _standby(*(f's{i}' for i in range(9)))
+    moves = _decide([pool], rest, history, now_s=4.3)
     assert len(moves) < 6
 
 
-def test_chance_arrivals_of_small_jobs_are_no_turn():
-    turns = demand.Turns(pools=frozenset(POOLS), pool_cores={'a': 400.0})
+def test_chance_arrivals_of_small_jobs_are_no_burst():
+    history = demand.Turns(pools=frozenset(POOLS), pool_cores={'a': 400.0})
     for at_s in (2.0, 3.0, 4.0, 4.6):
-        demand.note(turns, 'a', at_s, 20.0)
-    # 1.7 jobs a second of 20 core-seconds keep a twelfth of the pool busy.
-    assert not turns.lines['a'].in_turn
+        demand.note(history, 'a', at_s, 20.0)
+    # 1.7 jobs a second of 20 core-seconds keep a twelfth of the pool's cores
+    # busy.
+    assert not history.by_pool['a'].in_burst
     for number in range(12):
-        demand.note(turns, 'a', 16.0 + number * 0.1, 20.0)
-    assert turns.lines['a'].in_turn
+        demand.note(history, 'a', 16.0 + number * 0.1, 20.0)
+    assert history.by_pool['a'].in_burst
 
 
-def test_machines_for_a_first_turn_come_when_it_may_begin():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 2.0)
-    demand.update(turns, 'a', 4.0)
+def test_machines_for_a_first_burst_come_when_it_may_start():
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 2.0)
+    demand.update(history, 'a', 4.0)
     pools = []
     for name in ('b', 'c'):
         members = [_member(f'{name}{i}', now_s=4.0) for i in range(3)]
         pools.append(_pool(name, members))
         pools[-1].first_size = 3
-    rest = _resting('s1', 's2', 's3', 's4')
-    moves = _decide(pools, rest, turns, now_s=4.0)
-    # Which of the two comes next isn't known: both get as much.
+    rest = _standby('s1', 's2', 's3', 's4')
+    moves = _decide(pools, rest, history, now_s=4.0)
+    # Which of the two comes next is unknown, so both get the same.
+
     assert sorted(move.target for move in moves) == ['b', 'b', 'c', 'c']
 
 
-def test_uneven_turns_are_awaited_from_the_shortest_to_the_longest():
-    turns = demand.Turns(pools=frozenset(POOLS))
+def test_uneven_bursts_are_expected_from_shortest_to_longest_gap():
+    history = demand.Turns(pools=frozenset(POOLS))
     starts = {'a': 0.0, 'b': 8.0, 'c': 20.0}
     for pool, start_s in starts.items():
         for number in range(10):
-            demand.note(turns, pool, start_s + number * 0.2, 20.0)
+            demand.note(history, pool, start_s + number * 0.2, 20.0)
     for pool in POOLS:
-        demand.update(turns, pool, 25.0)
-    found = demand.next_turn(turns, 'a', 25.0)
+        demand.update(history, pool, 25.0)
+    found = demand.next_burst(history, 'a', 25.0)
     assert abs(found.earliest_s - 28.0) < 1.0
     assert abs(found.latest_s - 32.0) < 1.0
     members = [_member(f'a{i}', now_s=31.0) for i in range(2)]
-    moves = _decide([_pool('a', members)], {OFF: []}, turns, now_s=31.0)
+    moves = _decide([_pool('a', members)], {OFF: []}, history, now_s=31.0)
     assert not moves
 
 
-def test_all_machines_that_a_turn_lacks_move_in_one_pass():
-    turns = demand.Turns(pools=frozenset(POOLS))
+def test_all_machines_that_a_burst_lacks_move_in_one_pass():
+    history = demand.Turns(pools=frozenset(POOLS))
     for at_s in (0.0, 0.2, 0.3):
-        demand.note(turns, 'a', at_s, 20.0)
+        demand.note(history, 'a', at_s, 20.0)
     pool = _pool('a', [_member(f'm{i}') for i in range(40)])
     pool.first_size = 40
-    rest = _resting(*(f's{i}' for i in range(50)))
-    assert len(_decide([pool], rest, turns, now_s=0.4)) == 40
+    rest = _standby(*(f's{i}' for i in range(50)))
+    assert len(_decide([pool], rest, history, now_s=0.4)) == 40
 
 
-def test_young_turn_is_taken_at_its_height_until_it_has_reached_it():
-    turns = demand.Turns(pools=frozenset(POOLS))
-    _play(turns, 3.0, per_s=3.0, core_s=4.0)
+def test_burst_counts_at_its_expected_peak_while_it_ramps_up():
+    history = demand.Turns(pools=frozenset(POOLS))
+    _record_bursts(history, 3.0, per_s=3.0, core_s=4.0)
     pool = _pool('a', [_member(f'm{i}') for i in range(6)], busy_cores=20.0)
     pool.first_size = 6
-    moves = _decide([pool], _resting('s1', 's2'), turns, now_s=3.0)
+    moves = _decide([pool], _standby('s1', 's2'), history, now_s=3.0)
     assert [move.target for move in moves] == ['a', 'a']
 
 
 def test_rate_of_a_large_fleet_follows_its_rise_within_a_second():
-    turns = demand.Turns(pools=frozenset('a'))
+    history = demand.Turns(pools=frozenset('a'))
     for number in range(160):
-        demand.note(turns, 'a', number * 0.025, 10.0)
-    steady = demand.soon_cores(turns.lines['a'], 4.0)
+        demand.note(history, 'a', number * 0.025, 10.0)
+    steady = demand.expected_cores(history.by_pool['a'], 4.0)
     for number in range(90):
-        demand.note(turns, 'a', 4.0 + number * 0.0083, 10.0)
-    risen = demand.soon_cores(turns.lines['a'], 4.75)
-    # The rate is three times as high; machines take 1.5 s to come.
+        demand.note(history, 'a', 4.0 + number * 0.0083, 10.0)
+    risen = demand.expected_cores(history.by_pool['a'], 4.75)
+    # The rate is three times as high, and machines take 1.5 s to arrive.
     assert risen > 2.5 * steady
 
 
-def test_machines_on_their_way_keep_no_promise():
+def test_machines_on_their_way_do_not_count_towards_the_minimum():
     lacking = _pool('a', [_member('m1', busy=True)], busy_cores=90.0)
-    coming = [rebalancing.Member(f'c{i}', 8.0, None) for i in range(3)]
-    other = _pool('b', [*coming, *(_member(f'n{i}') for i in range(4))])
+    incoming = [rebalancing.Member(f'c{i}', 8.0, None) for i in range(3)]
+    other = _pool('b', [*incoming, *(_member(f'n{i}') for i in range(4))])
     other.min_up = 4
     assert not _decide([lacking, other])
 
 
-def _needed(shrunk_cores, waiting_cores):
-    """Give the machines that a pool of two needs, of eight cores each."""
+def _needed(unavailable_cores, waiting_cores):
+    """Return how many machines a pool of two with eight cores each needs."""
     members = [
-        rebalancing.Member(f'm{number}', 8.0, None, shrunk_cores=cores)
-        for number, cores in enumerate(shrunk_cores)
+        rebalancing.Member(f'm{number}', 8.0, None, unavailable_cores=cores)
+        for number, cores in enumerate(unavailable_cores)
     ]
     rows = [backlog.Waiting(waiting_cores, 3.0, 0.0)] if waiting_cores else []
     pool = rebalancing.PoolView(ids.ServiceId('a'), members, waiting=rows)
@@ -460,8 +467,12 @@
     return decision.needs['a'].now
 
 
-def test_machines_make_up_for_rooms_that_have_shrunk():
-    """A pool with idle machines by number waited for rooms that weren't."""
+def test_machines_make_up_for_capacity_that_workers_lack():
+    """A pool waited for capacity that its idle machines didn't have.
+
+    Its machines sufficed by their number, but their workers couldn't use all
+    cores.
+    """
     assert _needed((0.0, 0.0), 10.0) == 2
     assert _needed((8.0, 0.0), 10.0) == 3
     assert _needed((4.0, 4.0), 10.0) == 3
