--- a/oleanderwood/maintenance/__init__.py
+++ b/oleanderwood/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Maintenance of machines: waves, and what they may interrupt."""
+"""Maintenance of machines: waves, and the limits on interruptions."""
--- a/oleanderwood/maintenance/disruption_budget.py
+++ b/oleanderwood/maintenance/disruption_budget.py
@@ -1,40 +1,40 @@
-"""How many tasks that last may be taken away by our own orders. Pure."""
+"""Limit how many long-running tasks our own orders interrupt at a time."""
 
 from oleanderwood.jobs import ledger as ledgers
 from oleanderwood.pools import workers as workers_
 
-SETTLED_S = 0.5
-"""How long a task must have worked before it counts as back: reports are up
-to a renewal old."""
+MIN_WORKING_S = 0.5
+"""Time for which a task must have worked before it counts as available again:
+reports are up to one lease renewal old."""
 
 
-def at_work(task: ledgers.Task, now_s: float) -> bool:
-    """Say whether a long-running task surely works now."""
+def is_working(task: ledgers.Task, now_s: float) -> bool:
+    """Return whether a long-running task is known to be working now."""
     run = task.run
     return (
         run is not None
         and run.phase is ledgers.RunPhase.RUNNING
         and run.at_work_since_s is not None
-        and now_s - run.at_work_since_s >= SETTLED_S
+        and now_s - run.at_work_since_s >= MIN_WORKING_S
     )
 
 
-def away(group: ledgers.Group, now_s: float) -> int:
-    """Count the tasks of a step that may not be at work."""
-    return sum(not at_work(task, now_s) for task in group.tasks)
+def count_unavailable(group: ledgers.Group, now_s: float) -> int:
+    """Count the tasks of a step that may not be working."""
+    return sum(not is_working(task, now_s) for task in group.tasks)
 
 
-def spares(group: ledgers.Group, now_s: float) -> int:
-    """Count the tasks of a step that we may take away now.
+def remaining_budget(group: ledgers.Group, now_s: float) -> int:
+    """Return how many tasks of a step may be interrupted now.
 
-    A step without an allowance may lose one at a time: maintenance has to
-    go on.
+    A step without an allowance may lose one task at a time, so that
+    maintenance can proceed.
     """
-    return max(1, group.step.most_away) - away(group, now_s)
+    return max(1, group.step.most_away) - count_unavailable(group, now_s)
 
 
 def note_order(worker: workers_.Worker, now_s: float) -> None:
-    """Count all that runs on a worker as away: an order may end it."""
+    """Mark all tasks on a worker as unavailable, as an order may end them."""
     for task in worker.runs.values():
         if task.run is not None:
             task.run.at_work_since_s = None
@@ -42,27 +42,28 @@
 
 
 def may_end_all(worker: workers_.Worker, now_s: float) -> bool:
-    """Say whether all that runs on a worker may be ended by an order."""
+    """Return whether an order may end all tasks that run on a worker."""
     groups = {
         task.group
         for task in worker.runs.values()
         if task.group.step.lasting and not ledgers.final(task.group.entry)
     }
-    return all(_may_end(group, worker, now_s) for group in groups)
+    return all(_may_interrupt_step(group, worker, now_s) for group in groups)
 
 
-def _may_end(
+def _may_interrupt_step(
     group: ledgers.Group, worker: workers_.Worker, now_s: float
 ) -> bool:
-    """Weigh one step: those here that may work against those away.
+    """Check one step's budget, if its tasks on this worker end.
 
-    Reports are up to a renewal old, so each run here may be at work by now;
-    elsewhere a task counts as away until it surely is.
+    Reports are up to one lease renewal old, so each run on this worker may be
+    working by now; elsewhere a task counts as unavailable until it is known to
+    be working.
     """
-    ended = away = 0
+    ended = unavailable = 0
     for task in group.tasks:
         if task.name in worker.runs and task.run is not None:
             ended += 1
-        elif not at_work(task, now_s):
-            away += 1
-    return ended == 0 or ended + away <= max(1, group.step.most_away)
+        elif not is_working(task, now_s):
+            unavailable += 1
+    return ended == 0 or ended + unavailable <= max(1, group.step.most_away)
--- a/oleanderwood/maintenance/fleet.py
+++ b/oleanderwood/maintenance/fleet.py
@@ -1,4 +1,4 @@
-"""Machines and waves of maintenance, as the platform lists them."""
+"""Machines and maintenance waves, as the platform lists them."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class State(enum.Enum):
-    """What the platform says of a machine."""
+    """The platform's state of a machine."""
 
     UP = 'up'
     MOVING = 'moving'
@@ -18,7 +18,7 @@
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """A machine; its executor changes with each of its lives.
+    """A machine; its executor changes with each restart.
 
     :ivar worker: its executor, '' if it has none now
     """
@@ -35,8 +35,9 @@
 class Wave(msgspec.Struct, frozen=True):
     """Machines that are due for maintenance.
 
-    :ivar time_s: within which all have to be done
-    :ivar most_at_once: of its machines, down for it at the same time
+    :ivar time_s: time within which the maintenance of all has to be done
+    :ivar most_at_once: maximum number of its machines that are down for it at
+        the same time
     """
 
     wave: int
--- a/oleanderwood/maintenance/rolling.py
+++ b/oleanderwood/maintenance/rolling.py
@@ -1,8 +1,8 @@
-"""Which machine of a wave goes down next. Pure.
+"""Choose the machines of a wave that go down next.
 
-Load it answers: two machines in five are due within 25 s, some at once,
-while their pools carry peaks. Machines without work go first; others are
-closed to new tasks ahead, so that they are empty when their turn comes.
+Two machines in five may be due within 25 s, several at a time, while their
+pools are at peak load. Machines without work go first. Others are closed to
+new tasks ahead of time, so that they are empty when they are due.
 """
 
 import collections.abc
@@ -15,26 +15,28 @@
 from oleanderwood.pools import workers as workers_
 
 CYCLE_SLACK_S = 0.7
-"""Time between a machine's return and the next one's order, beside the
-maintenance itself: the entry's way through the store and our own pass."""
+"""Time between a machine's return and the next order, in addition to the
+maintenance itself: the worker's entry passes through the store, and a planning
+pass has to follow."""
 
 CLOSED_AHEAD = 1
-"""Machines closed beyond those whose turn it is; each costs room."""
+"""Machines closed to new tasks beyond those that go down next; each costs
+capacity."""
 
 HURRY_FACTOR = 1.25
-"""The rest of a wave is hurried once the time left is less than this many
-times what it takes."""
+"""A wave hurries once the time left is less than this many times the time that
+its remaining machines need."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """What operators allow of maintenance now.
+    """Limits that operators and demand set on maintenance.
 
     :ivar min_up: machines that each pool keeps up, by its name
-    :ivar needed: machines that each pool needs for its work; a wave that is
-        in a hurry goes below
-    :ivar hold: nothing goes down
-    :ivar quiet: only a wave that is in a hurry goes on
+    :ivar needed: machines that each pool needs for its work; a wave in a hurry
+        ignores them
+    :ivar hold: no machine goes down
+    :ivar quiet: only a wave in a hurry proceeds
     """
 
     min_up: dict[ids.ServiceId, int] = dataclasses.field(default_factory=dict)
@@ -45,10 +47,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Ordered:
-    """An order for maintenance.
+    """An order to maintain a machine.
 
-    :ivar before: the worker that the machine had, '' if it was off
-    :ivar taken: the platform answered that it is done
+    :ivar before: the machine's worker at the time, '' if it was off
+    :ivar taken: the platform answered that the order is carried out
     """
 
     before: str
@@ -58,7 +60,7 @@
 
 @dataclasses.dataclass
 class Progress:
-    """How far a wave is.
+    """Progress of a wave.
 
     :ivar begun: machines whose maintenance has begun
     :ivar down: machines that were ordered down and aren't known to be back
@@ -78,10 +80,10 @@
 
 @dataclasses.dataclass
 class Decision:
-    """What a pass over a wave comes to.
+    """The result of a planning pass over a wave.
 
     :ivar waits: why other machines don't go down now
-    :ivar relocate: a long-running task that is to start elsewhere
+    :ivar relocate: a long-running task to start elsewhere
     """
 
     order: list[str] = dataclasses.field(default_factory=list)
@@ -97,12 +99,13 @@
     read_s: float,
     maintenance_s: float,
 ) -> None:
-    """Note which machines are back, or gone for good.
+    """Remove machines from ``progress.down`` that are back, or gone for good.
 
-    One that was off has no worker that would tell its lives apart; it is
-    back once it is up after the time that maintenance takes.
+    A machine that was off had no worker, so a new worker doesn't show its
+    return; it counts as back if it is up after the time that maintenance
+    takes.
 
-    :param read_s: when the list of machines was asked for
+    :param read_s: when the list of machines was requested
     """
     for name, ordered in list(progress.down.items()):
         machine = machines.get(name)
@@ -125,52 +128,52 @@
     bounds: Bounds = Bounds(),
     perhaps_down: collections.abc.Set[str] = frozenset(),
 ) -> Decision:
-    """Decide what goes down now, and what is closed to new tasks.
+    """Choose machines that go down now, and machines to close to new tasks.
 
     :param workers: by machine
-    :param perhaps_down: machines that an earlier leader may have ordered down
+    :param perhaps_down: machines that a previous leader may have ordered down
     """
     wave = progress.wave
-    left = [
+    pending = [
         name
         for name in wave.machines
         if name in machines and name not in progress.begun
     ]
     decision = Decision()
-    if not left:
+    if not pending:
         decision.completed = not progress.down
         return decision
-    down = _down(progress, machines) | perhaps_down.intersection(left)
+    down = _down(progress, machines) | perhaps_down.intersection(pending)
     slots = wave.most_at_once - len(down)
     ready = [
         name
-        for name in left
+        for name in pending
         if machines[name].state is fleet.State.UP
         and progress.refused_until_s.get(name, 0.0) <= now_s
     ]
-    ready.sort(key=lambda name: _cost(workers.get(name), now_s))
-    hurry = _hurried(progress, len(left), maintenance_s, now_s)
-    for name in left:
+    ready.sort(key=lambda name: _order_key(workers.get(name), now_s))
+    hurry = _must_hurry(progress, len(pending), maintenance_s, now_s)
+    for name in pending:
         if name not in ready:
             decision.waits[name] = machines[name].state.value
     spare = _spare_machines(progress, machines, bounds, hurry)
     for name in ready:
         worker = workers.get(name)
         pool = ids.ServiceId(machines[name].pool)
-        blocked = _blocked(worker, hurry, now_s)
+        reason = _blocking_reason(worker, hurry, now_s)
         if spare.get(pool, 1) <= 0:
             decision.waits[name] = 'its pool has no machine to spare'
             continue
         if bounds.hold or (bounds.quiet and not hurry):
-            blocked = 'operators hold maintenance'
+            reason = 'operators hold maintenance'
         if len(decision.order) >= slots:
-            blocked = 'others are down'
-        if not blocked:
+            reason = 'others are down'
+        if not reason:
             decision.order.append(name)
             if pool in spare:
                 spare[pool] -= 1
             continue
-        decision.waits[name] = blocked
+        decision.waits[name] = reason
         if pool in spare:
             spare[pool] -= 1
         if len(decision.close) < wave.most_at_once + CLOSED_AHEAD:
@@ -179,7 +182,7 @@
             elif disruption_budget.may_end_all(worker, now_s):
                 decision.close.add(name)
         if decision.relocate is None and worker is not None:
-            decision.relocate = _crowded(worker, now_s)
+            decision.relocate = _task_to_relocate(worker, now_s)
     decision.close.update(decision.order)
     return decision
 
@@ -190,12 +193,12 @@
     bounds: Bounds,
     hurry: bool,
 ) -> dict[ids.ServiceId, int]:
-    """Give how many machines may go down, by pool with a bound."""
-    kept = dict(bounds.min_up)
+    """Return how many machines may go down, for each pool with a limit."""
+    required = dict(bounds.min_up)
     if not hurry:
         for pool, needed in bounds.needed.items():
-            kept[pool] = max(needed, kept.get(pool, 0))
-    spare = {pool: -least for pool, least in kept.items()}
+            required[pool] = max(needed, required.get(pool, 0))
+    spare = {pool: -minimum for pool, minimum in required.items()}
     for name, machine in machines.items():
         pool = ids.ServiceId(machine.pool)
         up = machine.state is fleet.State.UP and name not in progress.down
@@ -205,7 +208,7 @@
 
 
 def _down(progress: Progress, machines: dict[str, fleet.Machine]) -> set[str]:
-    """Give the wave's machines that are, or may be, down for maintenance."""
+    """Return the wave's machines that are, or may be, down for maintenance."""
     listed = {
         name
         for name in progress.wave.machines
@@ -214,24 +217,29 @@
     return listed | set(progress.down)
 
 
-def _blocked(worker: workers_.Worker | None, hurry: bool, now_s: float) -> str:
-    """Say why a machine can't go down now; '' if it can."""
+def _blocking_reason(
+    worker: workers_.Worker | None, hurry: bool, now_s: float
+) -> str:
+    """Return why a machine can't go down now; '' if it can."""
     if worker is None:
         return ''
     if not worker.fenced or worker.silent_since_s is not None:
-        # What it runs isn't known, or not any more.
+        # Its runs are not known yet, or no longer known.
         return 'its worker does not answer'
     if not disruption_budget.may_end_all(worker, now_s):
         return 'its long-running tasks are needed'
-    if _batch(worker) and not hurry:
+    if _batch_task_count(worker) and not hurry:
         return 'it has work'
     return ''
 
 
-def _crowded(worker: workers_.Worker, now_s: float) -> ledgers.Task | None:
-    """Give a task that must leave before its worker ever can go down.
+def _task_to_relocate(
+    worker: workers_.Worker, now_s: float
+) -> ledgers.Task | None:
+    """Return a task that must leave before its worker can ever go down.
 
-    More tasks of one step are there than may be away at once.
+    There is one if more tasks of a step run there than may be unavailable at
+    the same time.
     """
     here: dict[ledgers.Group, list[ledgers.Task]] = {}
     for task in worker.runs.values():
@@ -239,28 +247,31 @@
             here.setdefault(task.group, []).append(task)
     for group, tasks in here.items():
         allowed = max(1, group.step.most_away)
-        if len(tasks) > allowed and disruption_budget.spares(group, now_s) > 0:
+        if (
+            len(tasks) > allowed
+            and disruption_budget.remaining_budget(group, now_s) > 0
+        ):
             return tasks[0]
     return None
 
 
-def _batch(worker: workers_.Worker) -> int:
+def _batch_task_count(worker: workers_.Worker) -> int:
     return sum(not task.group.step.lasting for task in worker.runs.values())
 
 
-def _lasting(worker: workers_.Worker | None) -> int:
+def _long_running_task_count(worker: workers_.Worker | None) -> int:
     if worker is None:
         return 0
     return sum(task.group.step.lasting for task in worker.runs.values())
 
 
-def _cost(worker: workers_.Worker | None, now_s: float):
-    """Order machines: those that the others wait for, then the cheapest.
+def _order_key(worker: workers_.Worker | None, now_s: float):
+    """Sort machines: first those that others wait for, then the cheapest.
 
     Machines with long-running tasks of one step go one after another, each
-    once the tasks of the one before are at work elsewhere, so they begin while
-    idle ones go beside them. Last in line, the 20 or so of a wave of 122 began
-    3 s after it and ended up to 6 s after its time.
+    once the tasks of the previous one work elsewhere. So they start first, and
+    idle machines go beside them. When they were last, the 20 or so of a wave
+    of 122 started 3 s after it and ended up to 6 s after its deadline.
     """
     if worker is None:
         return (0, 1, 0)
@@ -270,13 +281,13 @@
         if not task.group.step.lasting
     )
     may_go = disruption_budget.may_end_all(worker, now_s)
-    return (not may_go, not _lasting(worker), batch)
+    return (not may_go, not _long_running_task_count(worker), batch)
 
 
-def _hurried(
-    progress: Progress, left: int, maintenance_s: float, now_s: float
+def _must_hurry(
+    progress: Progress, pending: int, maintenance_s: float, now_s: float
 ) -> bool:
-    rounds = -(-left // max(1, progress.wave.most_at_once))
+    rounds = -(-pending // max(1, progress.wave.most_at_once))
     needed_s = rounds * (maintenance_s + CYCLE_SLACK_S)
     left_s = progress.seen_s + progress.wave.time_s - now_s
     return left_s < HURRY_FACTOR * needed_s
--- a/tests/test_rolling.py
+++ b/tests/test_rolling.py
@@ -16,8 +16,8 @@
     }
 
 
-def _progress(*names, most=2, time_s=60.0):
-    wave = fleet.Wave(1, names, time_s, most)
+def _progress(*names, max_down=2, time_s=60.0):
+    wave = fleet.Wave(1, names, time_s, max_down)
     return rolling.Progress(wave, 0.0)
 
 
@@ -27,8 +27,8 @@
     )
 
 
-def _serving(*workers, tasks, **fields):
-    """Let a step of long-running tasks work on some workers in turn."""
+def _start_long_running(*workers, tasks, **fields):
+    """Start a step of long-running tasks on some workers, round robin."""
     step = build.step(tasks, lasting=True, **fields)
     ledger = build.ledger_with(build.job(step))
     for index in range(tasks):
@@ -38,23 +38,23 @@
     return ledger
 
 
-def test_not_more_go_down_than_may():
-    progress = _progress('a', 'b', 'c', most=2)
+def test_no_more_machines_go_down_than_allowed():
+    progress = _progress('a', 'b', 'c', max_down=2)
     decision = _decide(progress, _machines('a', 'b', 'c'))
     assert len(decision.order) == 2
 
 
-def test_those_that_are_down_count():
-    progress = _progress('a', 'b', 'c', most=2)
+def test_machines_that_are_down_count():
+    progress = _progress('a', 'b', 'c', max_down=2)
     progress.down['a'] = rolling.Ordered('w-a', 9.0, True)
     progress.begun.add('a')
     decision = _decide(progress, _machines('a', 'b', 'c'))
     assert len(decision.order) == 1
 
 
-def test_one_that_an_earlier_leader_may_just_take_down_counts():
-    """Its order may be under way while the list still shows it up."""
-    progress = _progress('a', 'b', 'c', most=2)
+def test_machine_that_a_previous_leader_may_have_ordered_down_counts():
+    """Its order may be in progress while the list shows the machine up."""
+    progress = _progress('a', 'b', 'c', max_down=2)
     decision = rolling.decide(
         progress,
         _machines('a', 'b', 'c', 'd'),
@@ -66,8 +66,8 @@
     assert len(decision.order) == 1
 
 
-def test_one_ordered_by_an_earlier_leader_counts():
-    progress = _progress('a', 'b', most=1)
+def test_machine_ordered_down_by_a_previous_leader_counts():
+    progress = _progress('a', 'b', max_down=1)
     machines = _machines('b')
     machines.update(_machines('a', state=fleet.State.MAINTAINED))
     assert not _decide(progress, machines).order
@@ -94,18 +94,18 @@
     assert decision.order == ['a']
 
 
-def test_serving_tasks_stay_within_their_allowance():
+def test_long_running_tasks_stay_within_their_budget():
     first, second = build.worker('w1'), build.worker('w2')
-    _serving(first, second, tasks=2, most_away=1)
+    _start_long_running(first, second, tasks=2, most_away=1)
     assert disruption_budget.may_end_all(first, 10.0)
     disruption_budget.note_order(first, 10.0)
     assert not disruption_budget.may_end_all(second, 10.0)
 
 
-def test_orders_of_one_pass_share_the_allowance():
+def test_orders_of_one_pass_share_the_budget():
     first, second = build.worker('w1'), build.worker('w2')
-    _serving(first, second, tasks=2, most_away=1)
-    progress = _progress('a', 'b', most=2)
+    _start_long_running(first, second, tasks=2, most_away=1)
+    progress = _progress('a', 'b', max_down=2)
     workers = {'a': first, 'b': second}
     decision = _decide(progress, _machines('a', 'b'), workers)
     done = []
@@ -118,16 +118,16 @@
 
 def test_task_that_came_back_just_now_counts_as_away():
     worker = build.worker()
-    ledger = _serving(worker, tasks=1)
+    ledger = _start_long_running(worker, tasks=1)
     run = build.task(ledger).run
     run.at_work_since_s = 9.9
-    assert not disruption_budget.at_work(build.task(ledger), 10.0)
-    assert disruption_budget.at_work(build.task(ledger), 10.5)
+    assert not disruption_budget.is_working(build.task(ledger), 10.0)
+    assert disruption_budget.is_working(build.task(ledger), 10.5)
 
 
-def test_crowded_machine_has_a_task_relocated():
+def test_machine_with_too_many_tasks_of_a_step_has_one_relocated():
     first, second = build.worker('w1'), build.worker('w2')
-    ledger = _serving(first, second, tasks=4, most_away=1)
+    ledger = _start_long_running(first, second, tasks=4, most_away=1)
     decision = _decide(_progress('a'), _machines('a'), {'a': first})
     assert not decision.order
     assert decision.relocate in set(first.runs.values())
@@ -141,12 +141,14 @@
     progress.begun.add('a')
     progress.down['a'] = rolling.Ordered('w-a', 9.0, True)
     assert not _decide(progress, _machines('a')).completed
-    rolling.note_returns(progress, _returned('a'), 11.2, MAINTENANCE_S)
+    rolling.note_returns(
+        progress, _list_with_new_worker('a'), 11.2, MAINTENANCE_S
+    )
     assert _decide(progress, _machines('a')).completed
 
 
-def _returned(name):
-    """Give the list with a machine in its next life."""
+def _list_with_new_worker(name):
+    """Return the list with a machine that has a new worker."""
     machine = fleet.Machine(name, build.POOL, fleet.State.UP, worker='next')
     return {name: machine}
 
@@ -164,13 +166,15 @@
 def test_order_without_an_answer_stays_counted():
     progress = _progress('a')
     progress.down['a'] = rolling.Ordered('w-a', 9.0)
-    rolling.note_returns(progress, _returned('a'), 20.0, MAINTENANCE_S)
+    rolling.note_returns(
+        progress, _list_with_new_worker('a'), 20.0, MAINTENANCE_S
+    )
     assert progress.down
 
 
-def test_tasks_just_taken_over_from_an_earlier_leader_count_as_working():
+def test_tasks_taken_over_from_a_previous_leader_count_as_working():
     worker = build.worker('w1')
-    ledger = _serving(worker, tasks=2, most_away=1)
+    ledger = _start_long_running(worker, tasks=2, most_away=1)
     for index in range(2):
         build.task(ledger, 0, index).run.at_work_since_s = 9.95
     assert not disruption_budget.may_end_all(worker, 10.0)
@@ -178,7 +182,7 @@
 
 def test_tasks_that_started_up_at_the_last_report_count_as_working():
     worker = build.worker('w1')
-    ledger = _serving(worker, tasks=2, most_away=1)
+    ledger = _start_long_running(worker, tasks=2, most_away=1)
     for index in range(2):
         build.task(ledger, 0, index).run.at_work_since_s = None
     assert not disruption_budget.may_end_all(worker, 10.0)
@@ -197,7 +201,7 @@
     assert _decide(_progress('a'), _machines('a'), {'a': worker}).order
 
 
-def _bound(progress, machines, workers=(), now_s=10.0, **fields):
+def _decide_within(progress, machines, workers=(), now_s=10.0, **fields):
     return rolling.decide(
         progress,
         machines,
@@ -209,59 +213,63 @@
 
 
 def test_pool_keeps_the_machines_that_operators_promise():
-    progress = _progress('a', 'b', most=2)
+    progress = _progress('a', 'b', max_down=2)
     machines = _machines('a', 'b', 'c')
-    kept = {build.POOL: 2}
-    decision = _bound(progress, machines, min_up=kept)
+    required = {build.POOL: 2}
+    decision = _decide_within(progress, machines, min_up=required)
     assert decision.order == ['a']
     assert decision.waits['b'] == 'its pool has no machine to spare'
     progress.down['c'] = rolling.Ordered('w-c', 9.0, True)
-    assert not _bound(progress, machines, min_up=kept).order
+    assert not _decide_within(progress, machines, min_up=required).order
 
 
 def test_nothing_goes_down_while_operators_hold_maintenance():
     progress = _progress('a', time_s=10.5)
-    assert not _bound(progress, _machines('a'), hold=True).order
+    assert not _decide_within(progress, _machines('a'), hold=True).order
 
 
 def test_quiet_hours_bind_a_wave_until_it_must_hurry():
     progress = _progress('a', time_s=60.0)
-    assert not _bound(progress, _machines('a'), quiet=True).order
-    late = _bound(progress, _machines('a'), now_s=58.0, quiet=True)
-    assert late.order == ['a']
+    assert not _decide_within(progress, _machines('a'), quiet=True).order
+    near_deadline = _decide_within(
+        progress, _machines('a'), now_s=58.0, quiet=True
+    )
+    assert near_deadline.order == ['a']
 
 
-def test_pool_in_its_turn_is_spared_until_the_wave_must_hurry():
-    progress = _progress('a', 'b', most=2, time_s=60.0)
+def test_busy_pool_is_spared_until_the_wave_must_hurry():
+    progress = _progress('a', 'b', max_down=2, time_s=60.0)
     machines = _machines('a', 'b')
     needed = {build.POOL: 2}
-    decision = _bound(progress, machines, needed=needed)
+    decision = _decide_within(progress, machines, needed=needed)
     assert not decision.order and not decision.close
-    late = _bound(progress, machines, now_s=58.0, needed=needed)
-    assert late.order == ['a', 'b']
+    near_deadline = _decide_within(
+        progress, machines, now_s=58.0, needed=needed
+    )
+    assert near_deadline.order == ['a', 'b']
 
 
 def test_no_more_machines_are_closed_than_a_pool_can_spare():
-    progress = _progress('a', 'b', 'c', most=3)
+    progress = _progress('a', 'b', 'c', max_down=3)
     workers = {}
     for name in 'abc':
         worker = build.worker(f'w-{name}')
         ledger = build.ledger_with(build.job())
         build.start(ledger, build.task(ledger), worker)
         workers[name] = worker
-    decision = _bound(
+    decision = _decide_within(
         progress, _machines('a', 'b', 'c'), workers, needed={build.POOL: 2}
     )
     assert len(decision.close) == 1
 
 
 def test_machines_with_long_running_tasks_go_before_idle_ones():
-    """Others of their step wait for them, and idle ones for nobody."""
+    """Other machines of their step wait for them; none waits for idle ones."""
     serving = build.worker('w-c')
-    _serving(serving, tasks=1, most_away=2)
+    _start_long_running(serving, tasks=1, most_away=2)
     idle = build.worker('w-a')
     decision = _decide(
-        _progress('a', 'b', 'c', most=1),
+        _progress('a', 'b', 'c', max_down=1),
         _machines('a', 'b', 'c'),
         {'a': idle, 'c': serving},
     )
