--- a/oleanderwood/frontend/__init__.py
+++ b/oleanderwood/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: routing, handing in, asking, cancelling."""
+"""The callers' interface: submitting, querying and cancelling jobs."""
--- a/oleanderwood/frontend/asking.py
+++ b/oleanderwood/frontend/asking.py
@@ -1,4 +1,4 @@
-"""What callers ask for: a job's state, and how many of a queue wait."""
+"""Query and notify the leader on behalf of callers."""
 
 import dataclasses
 import urllib.parse
@@ -19,8 +19,8 @@
 from oleanderwood.web import connections
 
 ASK_TIMEOUT_S = 0.4
-"""Longest wait for the leader; then the store is read instead. Callers wait
-3 s in all, and the store may be slow as well."""
+"""Time-out of a call to the leader; then the store is read instead. Callers
+wait 3 s in all, and the store may be slow as well."""
 
 STATE_PATH = '/state/'
 PENDING_PATH = '/pending/'
@@ -28,11 +28,11 @@
 CANCELLED_PATH = '/cancelled/'
 
 
-class Told(msgspec.Struct, frozen=True):
+class LeaderAnswer(msgspec.Struct, frozen=True):
     """The leader's answer.
 
-    :ivar state: None if it doesn't know the job
-    :ivar tenant: whose job it is
+    :ivar state: None if the leader doesn't know the job
+    :ivar tenant: the owner of the job
     """
 
     state: model.State | None = None
@@ -42,73 +42,73 @@
 
 @dataclasses.dataclass
 class Asking:
-    """Calls to the leader, and to other servers.
+    """Connections for calls to the leader and to other servers.
 
-    :ivar judge: the server that last judged a call for this one
+    :ivar last_judge: the server that last judged a call for this one
     """
 
     server: states.Server
-    judge: ids.Address | None = None
-    kept: connections.Connections = dataclasses.field(
+    last_judge: ids.Address | None = None
+    open_connections: connections.Connections = dataclasses.field(
         default_factory=connections.Connections
     )
 
 
-def tell_state(leader: states.Leader, job: ids.JobId) -> Told:
-    """Answer for a job, as the leader."""
+def tell_state(leader: states.Leader, job: ids.JobId) -> LeaderAnswer:
+    """Return the state of a job, as the leader knows it."""
     entry = leader.ledger.entries.get(job)
     if entry is None:
-        return Told()
-    return Told(ledgers.shown_state(entry), tenant=entry.job.tenant)
+        return LeaderAnswer()
+    return LeaderAnswer(ledgers.shown_state(entry), tenant=entry.job.tenant)
 
 
-def tell_pending(leader: states.Leader, queue: str) -> Told:
+def tell_pending(leader: states.Leader, queue: str) -> LeaderAnswer:
     """Count a queue's jobs of which no task has started, as the leader."""
     count = sum(
         1
         for entry in leader.ledger.entries.values()
         if entry.job.queue.name == queue and not ledgers.has_begun(entry)
     )
-    return Told(pending=count)
+    return LeaderAnswer(pending=count)
 
 
 async def tell_jobs(asking: Asking, jobs: list[model.Job]) -> None:
-    """Tell the leader of jobs that lie in the store.
+    """Notify the leader of jobs that were written to the store.
 
-    It would see them there itself, but a watch may hear nothing for a
-    second. Nothing depends on the call.
+    The leader would see them there itself, but a watch may be a second late.
+    The call is an optimization: nothing depends on it.
     """
     leader = asking.server.leader
     if leader is not None and not leader.deposed:
         await intake.take_jobs(leader, jobs)
         if not leader.deposed:
             return
-    await _tell(asking, JOBS_PATH, msgspec.json.encode(jobs))
+    await _notify(asking, JOBS_PATH, msgspec.json.encode(jobs))
 
 
-async def tell_cancel(asking: Asking, job: ids.JobId) -> None:
-    """Tell the leader of a job whose cancel lies in the store.
+async def notify_cancel(asking: Asking, job: ids.JobId) -> None:
+    """Notify the leader of a job whose cancellation was written to the store.
 
-    As with new jobs, it would see the mark itself; the sooner, the less is
-    worked for nobody.
+    As with new jobs, the leader would see the mark itself; the sooner it
+    knows, the less work is wasted.
     """
     leader = asking.server.leader
     if leader is not None and not leader.deposed:
         intake.cancel(leader, job)
         await intake.after_intake(leader)
         return
-    await _tell(asking, CANCELLED_PATH + job, b'')
+    await _notify(asking, CANCELLED_PATH + job, b'')
 
 
-async def _tell(asking: Asking, target: str, body: bytes) -> None:
-    """Tell the leader, if another server leads; nothing depends on it."""
-    known = asking.server.roles.leader
-    if known is None or known.process == asking.server.process:
+async def _notify(asking: Asking, target: str, body: bytes) -> None:
+    """Call the leader, if another server leads; a failure is only logged."""
+    leader = asking.server.roles.leader
+    if leader is None or leader.process == asking.server.process:
         return
     try:
         await transport.call(
-            asking.kept,
-            known.address,
+            asking.open_connections,
+            leader.address,
             'POST',
             target,
             body,
@@ -118,39 +118,39 @@
         event_log.emit('caller', 'leader-not-told', why=error.reason)
 
 
-async def state(asking: Asking, job: ids.JobId) -> Told:
-    """Tell a job's state and whose it is; no state if there is no such job.
+async def fetch_state(asking: Asking, job: ids.JobId) -> LeaderAnswer:
+    """Return a job's state and tenant; the state is None for an unknown job.
 
     :raises errors.CallFailed: neither the leader nor the store answers
     """
     leader = asking.server.leader
     if leader is not None and not leader.deposed:
-        told = tell_state(leader, job)
+        answer = tell_state(leader, job)
     else:
-        told = await _ask(asking, STATE_PATH + job)
-    if told is not None and told.state is not None:
-        return told
-    return await _kept_state(asking.server.store, job)
+        answer = await _call_leader(asking, STATE_PATH + job)
+    if answer is not None and answer.state is not None:
+        return answer
+    return await _stored_state(asking.server.store, job)
 
 
-async def _kept_state(store: stores.Store, job: ids.JobId) -> Told:
-    kept = await stores.read(store, record.progress_key(job))
+async def _stored_state(store: stores.Store, job: ids.JobId) -> LeaderAnswer:
+    stored = await stores.read(store, record.progress_key(job))
     try:
-        if kept is not None:
-            progress = msgspec.json.decode(kept.value, type=record.Progress)
-            return Told(progress.state, tenant=progress.tenant)
-        kept = await stores.read(store, record.job_key(job))
-        if kept is None:
-            return Told()
-        owned = msgspec.json.decode(kept.value, type=model.Owned)
+        if stored is not None:
+            progress = msgspec.json.decode(stored.value, type=record.Progress)
+            return LeaderAnswer(progress.state, tenant=progress.tenant)
+        stored = await stores.read(store, record.job_key(job))
+        if stored is None:
+            return LeaderAnswer()
+        owned = msgspec.json.decode(stored.value, type=model.Owned)
     except msgspec.MsgspecError as error:
         raise errors.CallFailed(
-            verdicts.Verdict.NOT_RUN, f'what is kept is malformed: {error}'
+            verdicts.Verdict.NOT_RUN, f'malformed record in the store: {error}'
         ) from error
-    return Told(model.State.QUEUED, tenant=owned.tenant)
+    return LeaderAnswer(model.State.QUEUED, tenant=owned.tenant)
 
 
-async def pending(asking: Asking, queue: str) -> int:
+async def count_pending(asking: Asking, queue: str) -> int:
     """Count a queue's accepted jobs of which no task has started.
 
     :raises errors.CallFailed: the leader doesn't answer
@@ -158,22 +158,24 @@
     leader = asking.server.leader
     if leader is not None and not leader.deposed:
         return tell_pending(leader, queue).pending
-    told = await _ask(asking, PENDING_PATH + urllib.parse.quote(queue, ''))
-    if told is None:
+    answer = await _call_leader(
+        asking, PENDING_PATH + urllib.parse.quote(queue, '')
+    )
+    if answer is None:
         raise errors.CallFailed(
             verdicts.Verdict.NOT_RUN, 'the leader does not answer'
         )
-    return told.pending
+    return answer.pending
 
 
-async def _ask(asking: Asking, target: str) -> Told | None:
-    """Ask the leader; None if it doesn't answer or doesn't lead."""
+async def _call_leader(asking: Asking, target: str) -> LeaderAnswer | None:
+    """Call the leader; return None if it doesn't answer or doesn't lead."""
     leader = asking.server.roles.leader
     if leader is None or leader.process == asking.server.process:
         return None
     try:
         answer = await transport.call(
-            asking.kept,
+            asking.open_connections,
             leader.address,
             'GET',
             target,
@@ -181,7 +183,7 @@
         )
         if answer.status != 200:
             return None
-        return msgspec.json.decode(answer.body, type=Told)
+        return msgspec.json.decode(answer.body, type=LeaderAnswer)
     except (errors.CallFailed, msgspec.MsgspecError) as error:
         event_log.emit(
             'caller', 'leader-silent', target=target, why=str(error)
--- a/oleanderwood/frontend/denials.py
+++ b/oleanderwood/frontend/denials.py
@@ -1,4 +1,4 @@
-"""Telling of refused calls: counted all, logged a few a second."""
+"""Report refused calls: all in metrics, a few a second in the log."""
 
 import dataclasses
 
@@ -7,35 +7,36 @@
 from oleanderwood import server_metrics
 from oleanderwood.tenants import access
 
-LINES_A_SECOND = 5
-"""Log lines on refused calls; strangers may send thousands a second."""
+MAX_LINES_PER_S = 5
+"""Log lines on refused calls; unknown callers may send thousands a second."""
 
 
 @dataclasses.dataclass
 class Denials:
-    """What was told in the present second.
+    """Log lines of the current second.
 
-    :ivar untold: refused calls without a line of their own since the last one
+    :ivar suppressed: refused calls that were not logged since the last log
+        line
     """
 
     since_s: float = -1e9
-    lines: int = 0
-    untold: int = 0
+    line_count: int = 0
+    suppressed: int = 0
 
 
-def note(
+def record(
     denials: Denials, denied: access.Denied, method: str, job: str
 ) -> None:
-    """Note a refused call; what was shown as a key is told to nobody."""
+    """Record a refused call; the credential itself is not logged."""
     server_metrics.DENIED.labels(denied.reason.name.lower()).inc()
     now_s = clock.now_s()
     if now_s - denials.since_s >= 1.0:
         denials.since_s = now_s
-        denials.lines = 0
-    if denials.lines >= LINES_A_SECOND:
-        denials.untold += 1
+        denials.line_count = 0
+    if denials.line_count >= MAX_LINES_PER_S:
+        denials.suppressed += 1
         return
-    denials.lines += 1
+    denials.line_count += 1
     event_log.emit(
         'caller',
         'denied',
@@ -44,6 +45,6 @@
         why=denied.reason.value,
         tenant=denied.tenant,
         version=denied.version,
-        untold=denials.untold,
+        untold=denials.suppressed,
     )
-    denials.untold = 0
+    denials.suppressed = 0
--- a/oleanderwood/frontend/forwarding.py
+++ b/oleanderwood/frontend/forwarding.py
@@ -1,7 +1,8 @@
-"""Asking another server to hand in or cancel a job, or to take a whole call.
+"""Ask another server to submit or cancel a job, or to answer a whole call.
 
-A server that doesn't reach the store may reach others that do. The store's
-conditions let a job be handed in by several servers: it stays one job.
+A server that can't reach the store may reach servers that can. The conditions
+of writes to the store let several servers submit the same job: it remains one
+job.
 """
 
 import typing
@@ -25,28 +26,28 @@
 CANCEL_PATH = '/relay/cancel/'
 CALL_PATH = '/relay/call'
 
-STORE_LOST_S = 1.2
-"""Time without an answer of the store after which it counts as lost: the
-lease is renewed each 0.5 s."""
+STORE_LOST_AFTER_S = 1.2
+"""Time without an answer from the store after which it counts as unreachable:
+the lease is renewed each 0.5 s."""
 
-TIMEOUT_S = 0.7
-"""Longest wait for another server, which waits for the store itself; a calm
-one takes 10 ms. Callers wait 3 s in all."""
+PEER_TIMEOUT_S = 0.7
+"""Time-out of a call to another server, which waits for the store itself; an
+idle server takes 10 ms. Callers wait 3 s in all."""
 
-PEERS = 3
-"""Servers that are asked, the leader first: with half of all servers cut
-off, one in eight calls finds no way."""
+MAX_PEERS = 3
+"""Servers that are asked, the leader first: with half of all servers cut off,
+one call in eight fails."""
 
 
-JUDGES = 10
-"""Servers that are asked to judge a call; with two thirds of all cut off, one
-in fifty calls finds none."""
+MAX_JUDGES = 10
+"""Servers that are asked to judge a call; with two thirds of all servers cut
+off, one call in fifty finds none."""
 
 
-class Relayed(msgspec.Struct, frozen=True):
-    """What came of a relayed call.
+class RelayResult(msgspec.Struct, frozen=True):
+    """Result of a relayed call.
 
-    :ivar there: for a cancel, whether there is such a job
+    :ivar there: for a cancellation, whether the job exists
     :ivar foreign: another tenant has a job of this id
     """
 
@@ -57,11 +58,12 @@
 
 
 class Call(msgspec.Struct, frozen=True):
-    """A caller's call that another server is to judge and answer.
+    """A caller's call, for another server to judge and answer.
 
-    :ivar key: the digest of the key that was shown
-    :ivar least_revision: of the configuration by which it may be judged: the
-        caller may have seen the effects of the one that this server has
+    :ivar key: the digest of the caller's key
+    :ivar least_revision: minimum revision of the configuration by which the
+        call may be judged: the caller may have seen effects of this server's
+        revision
     """
 
     method: str
@@ -73,9 +75,10 @@
 
 
 class Answered(msgspec.Struct, frozen=True):
-    """Another server's answer to such a call.
+    """Another server's answer to a forwarded call.
 
-    :ivar status: None if that server can't judge it either; nothing was done
+    :ivar status: None if that server can't judge the call either; it had no
+        effect
     """
 
     status: int | None = None
@@ -83,63 +86,65 @@
     body: bytes = b''
 
 
-Answer = typing.TypeVar('Answer', Relayed, Answered)
+Answer = typing.TypeVar('Answer', RelayResult, Answered)
 
 
 def store_lost(server: states.Server) -> bool:
-    """Say whether the store hasn't answered this server for a while."""
-    return clock.now_s() - server.contact_s > STORE_LOST_S
+    """Return whether the store hasn't answered this server for a while."""
+    return clock.now_s() - server.contact_s > STORE_LOST_AFTER_S
 
 
-async def hand_in(asking: askings.Asking, job: model.Job) -> Relayed:
-    """Let another server hand a job in."""
-    return await _ask(asking, JOB_PATH, msgspec.json.encode(job), job.job)
+async def submit(asking: askings.Asking, job: model.Job) -> RelayResult:
+    """Submit a job through another server."""
+    return await _relay(asking, JOB_PATH, msgspec.json.encode(job), job.job)
 
 
 async def cancel(
     asking: askings.Asking, job: ids.JobId, tenant: ids.TenantId
-) -> Relayed:
-    """Let another server cancel a tenant's job."""
-    return await _ask(asking, CANCEL_PATH + job, tenant.encode(), job)
+) -> RelayResult:
+    """Cancel a tenant's job through another server."""
+    return await _relay(asking, CANCEL_PATH + job, tenant.encode(), job)
 
 
-async def _ask(
+async def _relay(
     asking: askings.Asking, target: str, body: bytes, job: ids.JobId
-) -> Relayed:
-    """Ask servers in turn until one has done it."""
-    relayed = Relayed(verdicts.Verdict.NOT_RUN, 'the store is not reached')
+) -> RelayResult:
+    """Call servers one after another until one has carried out the call."""
+    result = RelayResult(
+        verdicts.Verdict.NOT_RUN, 'no other server is known to relay to'
+    )
     in_doubt = False
-    for address in _peers(asking.server):
-        relayed = await _ask_one(asking, address, target, body)
+    for address in _peer_addresses(asking.server):
+        result = await _relay_to(asking, address, target, body)
         event_log.emit(
             'caller',
             'relayed',
             job=job,
             address=address,
-            verdict=relayed.verdict.value,
-            why=relayed.reason,
+            verdict=result.verdict.value,
+            why=result.reason,
         )
-        if relayed.verdict is verdicts.Verdict.RAN or relayed.foreign:
-            return relayed
-        in_doubt |= relayed.verdict is verdicts.Verdict.MAY_HAVE_RUN
+        if result.verdict is verdicts.Verdict.RAN or result.foreign:
+            return result
+        in_doubt |= result.verdict is verdicts.Verdict.MAY_HAVE_RUN
     if in_doubt:
-        return Relayed(verdicts.Verdict.MAY_HAVE_RUN, relayed.reason)
-    return relayed
+        return RelayResult(verdicts.Verdict.MAY_HAVE_RUN, result.reason)
+    return result
 
 
-async def pass_on(asking: askings.Asking, call: Call) -> Answered:
-    """Let a server answer a call whose configuration is surely the newest.
+async def forward_call(asking: askings.Asking, call: Call) -> Answered:
+    """Have a call answered by a server with a recent configuration.
 
-    :raises errors.CallFailed: one may have carried it out
+    :raises errors.CallFailed: a server may have carried out the call
     """
     body = msgspec.json.encode(call)
     in_doubt = ''
     unanswered = 0
-    for address in _judges(asking):
-        if unanswered == PEERS:
+    for address in _judge_addresses(asking):
+        if unanswered == MAX_PEERS:
             break
         try:
-            answered = await _exchange(
+            reply = await _call_peer(
                 asking, address, CALL_PATH, body, Answered
             )
         except errors.CallFailed as error:
@@ -147,28 +152,31 @@
             if error.verdict is not verdicts.Verdict.NOT_RUN:
                 in_doubt = error.reason
             continue
-        if answered.status is not None:
-            asking.judge = address
-            return answered
+        if reply.status is not None:
+            asking.last_judge = address
+            return reply
     if in_doubt:
         raise errors.CallFailed(verdicts.Verdict.MAY_HAVE_RUN, in_doubt)
     return Answered()
 
 
-def _judges(asking: askings.Asking) -> list[ids.Address]:
-    """Give servers that may judge a call, the one that did so last first.
+def _judge_addresses(asking: askings.Asking) -> list[ids.Address]:
+    """Return servers that may judge a call, the last successful one first.
 
-    One that can't says so at once, so that many may be asked.
+    A server that can't judge it answers so at once, so many may be asked.
     """
-    found = _peers(asking.server, JUDGES)
-    return sorted(found, key=lambda address: address != asking.judge)
+    found = _peer_addresses(asking.server, MAX_JUDGES)
+    return sorted(found, key=lambda address: address != asking.last_judge)
 
 
-def _peers(server: states.Server, most: int = PEERS) -> list[ids.Address]:
-    """Give some other servers: the leader, then those of other data centres.
+def _peer_addresses(
+    server: states.Server, limit: int = MAX_PEERS
+) -> list[ids.Address]:
+    """Return other servers: the leader, then those of other data centres.
 
-    Servers of one are often cut off together. Each server has others next to
-    it by name, so that not all ask the same.
+    Servers of one data centre are often cut off together. Each server prefers
+    the ones that follow its own name, so that not all servers call the same
+    one.
     """
     others = roles_.peers(server.roles, server.process)
     leader = server.roles.leader
@@ -182,36 +190,42 @@
             row.name,
         )
     )
-    return [row.address for row in others[:most]]
+    return [row.address for row in others[:limit]]
 
 
-async def _ask_one(
+async def _relay_to(
     asking: askings.Asking, address: ids.Address, target: str, body: bytes
-) -> Relayed:
+) -> RelayResult:
     try:
-        return await _exchange(asking, address, target, body, Relayed)
+        return await _call_peer(asking, address, target, body, RelayResult)
     except errors.CallFailed as error:
-        return Relayed(error.verdict, error.reason)
+        return RelayResult(error.verdict, error.reason)
 
 
-async def _exchange(
+async def _call_peer(
     asking: askings.Asking,
     address: ids.Address,
     target: str,
     body: bytes,
-    kind: type[Answer],
+    answer_type: type[Answer],
 ) -> Answer:
-    """Ask one server; gives its answer.
+    """Call one server and return its decoded answer.
 
-    :raises errors.CallFailed: it refused, didn't answer, or not to the point
+    :raises errors.CallFailed: it refused, didn't answer, or its answer is
+        malformed
     """
     answer = await transport.call(
-        asking.kept, address, 'POST', target, body, timeout_s=TIMEOUT_S
+        asking.open_connections,
+        address,
+        'POST',
+        target,
+        body,
+        timeout_s=PEER_TIMEOUT_S,
     )
     if answer.status != 200:
         raise transport.refused(answer, 'relay')
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(answer.body, type=answer_type)
     except msgspec.MsgspecError as error:
         raise errors.CallFailed(
             verdicts.Verdict.MAY_HAVE_RUN, str(error)
@@ -220,29 +234,37 @@
 
 async def take_job(
     server: states.Server, intake: intakes.Intake, body: bytes
-) -> Relayed:
-    """Hand a job in that another server passes on; it goes no further.
+) -> RelayResult:
+    """Submit a job for another server; it isn't relayed any further.
 
-    :raises msgspec.MsgspecError: the body is no job
+    :raises msgspec.MsgspecError: the body is not a job
     """
     job = msgspec.json.decode(body, type=model.Job)
     if store_lost(server):
-        return Relayed(verdicts.Verdict.NOT_RUN, 'the store is lost here too')
-    handed = await intakes.hand_in(intake, job)
-    return Relayed(handed.verdict, handed.reason, foreign=handed.foreign)
+        return RelayResult(
+            verdicts.Verdict.NOT_RUN, 'the store is unreachable here as well'
+        )
+    submission = await intakes.submit(intake, job)
+    return RelayResult(
+        submission.verdict, submission.reason, foreign=submission.id_taken
+    )
 
 
 async def take_cancel(
     server: states.Server, job: ids.JobId, tenant: ids.TenantId
-) -> Relayed:
-    """Cancel a tenant's job for another server."""
+) -> RelayResult:
+    """Cancel a tenant's job for another server; it isn't relayed further."""
     if store_lost(server):
-        return Relayed(verdicts.Verdict.NOT_RUN, 'the store is lost here too')
+        return RelayResult(
+            verdicts.Verdict.NOT_RUN, 'the store is unreachable here as well'
+        )
     try:
-        async with curio.timeout_after(TIMEOUT_S):
-            there = await intakes.cancel(server.store, job, tenant)
+        async with curio.timeout_after(PEER_TIMEOUT_S):
+            exists = await intakes.cancel(server.store, job, tenant)
     except errors.CallFailed as error:
-        return Relayed(error.verdict, error.reason)
+        return RelayResult(error.verdict, error.reason)
     except curio.TaskTimeout:
-        return Relayed(verdicts.Verdict.MAY_HAVE_RUN, 'the store is slow')
-    return Relayed(verdicts.Verdict.RAN, '', there)
+        return RelayResult(
+            verdicts.Verdict.MAY_HAVE_RUN, 'the store did not answer in time'
+        )
+    return RelayResult(verdicts.Verdict.RAN, '', exists)
--- a/oleanderwood/frontend/handler.py
+++ b/oleanderwood/frontend/handler.py
@@ -1,4 +1,4 @@
-"""Callers' requests, from the head to the answer."""
+"""Handle callers' requests, from the request head to the response."""
 
 import dataclasses
 import re
@@ -28,20 +28,21 @@
 from oleanderwood.web import http
 
 MAX_BODY_BYTES = 256 << 10
-"""Largest job that is read; its text has 4,000 bytes at most."""
+"""Largest body of a job that is read; the job's text has 4,000 bytes at
+most."""
 
 RETRY_AFTER_S = 1
-"""When a caller may come back after a refusal: a leader that died is
-followed within 2 s, and a store that refused a call takes it sooner."""
+"""When callers may retry after a refusal: a leader that died is replaced
+within 2 s, and a store that refused a call accepts it sooner."""
 
 JOB_ID = re.compile('[0-9a-f]{16}')
 
 METHODS = frozenset(('GET', 'POST', 'DELETE', 'PUT', 'HEAD', 'PATCH'))
-"""Methods that metrics tell apart; callers may send any word."""
+"""Methods with a metric label of their own; callers may send any word."""
 
-ALLOWED = ('GET', 'POST', 'DELETE')
+ALLOWED_METHODS = ('GET', 'POST', 'DELETE')
 
-ALLOW = (b'allow', ', '.join(ALLOWED).encode())
+ALLOW_HEADER = (b'allow', ', '.join(ALLOWED_METHODS).encode())
 
 JSON = (b'content-type', b'application/json')
 
@@ -50,21 +51,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """A request of a caller, read whole.
+    """A complete request of a caller.
 
-    :ivar shown: the key, or why there is none that could be good
+    :ivar credential: the key's digest, or why there is no usable key
     """
 
     method: str
     host: str
     path: str
-    shown: ids.KeyDigest | credentials.Denial
+    credential: ids.KeyDigest | credentials.Denial
     body: bytes
 
 
 @dataclasses.dataclass
 class Frontend:
-    """What requests are answered from."""
+    """State and connections from which requests are answered."""
 
     server: states.Server
     intake: intakes.Intake
@@ -75,7 +76,7 @@
 
 
 def make_handler(frontend: Frontend) -> http.Handler:
-    """Make the handler of callers' requests."""
+    """Return the handler of callers' requests."""
 
     async def handle(request: http.Request) -> http.Response:
         began_s = clock.now_s()
@@ -90,72 +91,74 @@
         body = await _read_body(request)
         if frontend.server.configuration is None:
             return _refusal(503, 'no configuration yet')
-        if request.method not in ALLOWED:
-            return http.Response(405, [ALLOW], b'not allowed\n')
+        if request.method not in ALLOWED_METHODS:
+            return http.Response(405, [ALLOW_HEADER], b'not allowed\n')
         host, path = targets.split(
             request.target, request.header('host') or ''
         )
-        shown = credentials.parse(
+        credential = credentials.parse(
             http.find_all(request.headers, 'authorization')
         )
-        call = Call(request.method, host, path, shown, body)
-        # The body may have come slowly: only now is the key judged.
+        call = Call(request.method, host, path, credential, body)
+        # The key is judged only now, as the body may have come slowly.
         if _needs_proof(frontend.server, call):
-            return await _pass_on(frontend, call)
+            return await _forward(frontend, call)
         return await _serve(frontend, call)
 
     return handle
 
 
 def _needs_proof(server: states.Server, call: Call) -> bool:
-    """Say whether a key can't be judged here for want of a recent reading."""
+    """Return whether the configuration is too old to judge the call's key."""
     return (
         server.configuration.tenants is not None
-        and not isinstance(call.shown, credentials.Denial)
+        and not isinstance(call.credential, credentials.Denial)
         and not freshness.is_proven(server)
     )
 
 
-async def _pass_on(frontend: Frontend, call: Call) -> http.Response:
-    """Let a server judge a call that has read the configuration lately."""
-    passed = forwarding.Call(
+async def _forward(frontend: Frontend, call: Call) -> http.Response:
+    """Have a call judged by a server with a recent configuration."""
+    forwarded = forwarding.Call(
         call.method,
         call.host,
         call.path,
-        call.shown,
+        call.credential,
         call.body,
         frontend.server.configuration_revision,
     )
     began_s = clock.now_s()
     try:
-        answered = await forwarding.pass_on(frontend.asking, passed)
+        reply = await forwarding.forward_call(frontend.asking, forwarded)
     except errors.CallFailed as error:
         server_metrics.PASSED_ON.labels('in-doubt').inc()
         _log('passed-on', _job_of(call), began_s, why=error.reason)
         return in_doubt('another server was asked, and did not answer')
-    outcome = 'refused' if answered.status is None else 'answered'
+    outcome = 'refused' if reply.status is None else 'answered'
     server_metrics.PASSED_ON.labels(outcome).inc()
-    _log('passed-on', _job_of(call), began_s, status=answered.status)
-    if answered.status is None:
+    _log('passed-on', _job_of(call), began_s, status=reply.status)
+    if reply.status is None:
         return _refusal(503, 'keys cannot be checked now')
-    return http.Response(
-        answered.status, list(answered.headers), answered.body
-    )
+    return http.Response(reply.status, list(reply.headers), reply.body)
 
 
 async def take_call(frontend: Frontend, body: bytes) -> forwarding.Answered:
-    """Judge and answer another server's call; it goes no further.
+    """Judge and answer another server's call; it isn't forwarded any further.
 
-    :raises msgspec.MsgspecError: the body is no call
+    :raises msgspec.MsgspecError: the body is not a call
     """
-    passed = msgspec.json.decode(body, type=forwarding.Call)
+    forwarded = msgspec.json.decode(body, type=forwarding.Call)
     call = Call(
-        passed.method, passed.host, passed.path, passed.key, passed.body
+        forwarded.method,
+        forwarded.host,
+        forwarded.path,
+        forwarded.key,
+        forwarded.body,
     )
     server = frontend.server
     if (
         server.configuration is None
-        or server.configuration_revision < passed.least_revision
+        or server.configuration_revision < forwarded.least_revision
         or forwarding.store_lost(server)
         or _needs_proof(server, call)
     ):
@@ -172,7 +175,7 @@
 
 
 def _job_of(call: Call) -> str:
-    """Give the job that a call seems to name, for the log."""
+    """Return the job that a call seems to name, for the log."""
     name = call.path.rpartition('/')[2]
     return name if JOB_ID.fullmatch(name) else ''
 
@@ -180,32 +183,32 @@
 async def _serve(frontend: Frontend, call: Call) -> http.Response:
     """Answer a call by this server's configuration.
 
-    The key comes first: without a good one nobody learns which queues or
-    jobs there are.
+    The key is checked first: without a valid one, callers can't learn which
+    queues or jobs exist.
     """
     configuration = frontend.server.configuration
     found = queues.find(configuration, call.host, call.path)
     tenant = access.judge(
         configuration.tenants,
         found is not None and found[0].public,
-        call.shown,
+        call.credential,
         frontend.server.revoked,
     )
     if isinstance(tenant, access.Denied):
-        denials_.note(frontend.denials, tenant, call.method, _job_of(call))
+        denials_.record(frontend.denials, tenant, call.method, _job_of(call))
         return http.Response(401, [CHALLENGE], b'a valid key is needed\n')
     if found is None:
         return http.Response(404, [], b'no such queue\n')
     queue, rest = found
     if not rest and call.method == 'GET':
-        return await _pending(frontend, queue)
+        return await _get_pending(frontend, queue)
     if not JOB_ID.fullmatch(rest):
         return http.Response(404, [], b'not the id of a job\n')
     job = ids.JobId(rest)
     if call.method == 'POST':
-        return await _hand_in(frontend, queue, job, tenant, call.body)
+        return await _submit(frontend, queue, job, tenant, call.body)
     if call.method == 'GET':
-        return await _state(frontend, job, tenant)
+        return await _get_state(frontend, job, tenant)
     return await _cancel(frontend, job, tenant)
 
 
@@ -222,9 +225,9 @@
 
 
 def in_doubt(reason: str) -> http.Response:
-    """Make the answer to a call of which it isn't known whether it was done.
+    """Return the response to a call that may or may not have been carried out.
 
-    Its caller asks again; a job stays one job.
+    Its caller retries; the job remains one job.
     """
     return _refusal(504, f'perhaps done: {reason}')
 
@@ -234,7 +237,7 @@
     event_log.emit('caller', event, job=job, after_ms=after_ms, **fields)
 
 
-async def _hand_in(
+async def _submit(
     frontend: Frontend,
     queue: queues.Queue,
     job: ids.JobId,
@@ -251,23 +254,23 @@
             429, [], b'a gang is wider than its tenant may run\n'
         )
     record = model.Job(job, queue, work, clock.wall_ms(), tenant=tenant)
-    written = await _write(frontend, record)
+    result = await _persist(frontend, record)
     _log(
         'handed-in',
         job,
         began_s,
         queue=queue.name,
         tenant=tenant,
-        verdict=written.verdict.value,
-        why=written.reason,
+        verdict=result.verdict.value,
+        why=result.reason,
     )
-    if written.verdict is verdicts.Verdict.RAN:
-        return _told(model.State.QUEUED)
-    if written.foreign:
+    if result.verdict is verdicts.Verdict.RAN:
+        return _state_response(model.State.QUEUED)
+    if result.foreign:
         return http.Response(403, [], b'this id is taken\n')
-    if written.verdict is verdicts.Verdict.NOT_RUN:
-        return _refusal(503, f'not accepted: {written.reason}')
-    return in_doubt(written.reason)
+    if result.verdict is verdicts.Verdict.NOT_RUN:
+        return _refusal(503, f'not accepted: {result.reason}')
+    return in_doubt(result.reason)
 
 
 async def _can_never_run(
@@ -276,9 +279,9 @@
     work: model.Work,
     tenant: ids.TenantId,
 ) -> bool:
-    """Say whether a new job has a gang that is wider than its tenant may run.
+    """Return whether a new job has a gang that exceeds its tenant's limit.
 
-    One that was accepted before the limit was lowered stays accepted.
+    A job that was accepted before the limit was lowered stays accepted.
     """
     limit = frontend.server.limits.get(tenant)
     if limit is None:
@@ -286,50 +289,54 @@
     if not any(quotas.exceeds(step, limit) for step in work.steps):
         return False
     try:
-        told = await askings.state(frontend.asking, job)
+        answer = await askings.fetch_state(frontend.asking, job)
     except errors.CallFailed as error:
         _log('state-unknown', job, clock.now_s(), why=error.reason)
         return False
-    return told.state is None
+    return answer.state is None
 
 
-async def _write(frontend: Frontend, job: model.Job) -> forwarding.Relayed:
-    """Write a job to the store, through another server if need be.
+async def _persist(
+    frontend: Frontend, job: model.Job
+) -> forwarding.RelayResult:
+    """Write a job to the store, through another server if necessary.
 
-    Gives whether it lies there now, and why not.
+    Returns whether it is stored now, and if not, why.
     """
     verdict = verdicts.Verdict.NOT_RUN
     if not forwarding.store_lost(frontend.server):
-        handed = await intakes.hand_in(frontend.intake, job)
-        if handed.verdict is verdicts.Verdict.RAN or handed.foreign:
-            return forwarding.Relayed(
-                handed.verdict, handed.reason, foreign=handed.foreign
+        submission = await intakes.submit(frontend.intake, job)
+        if submission.verdict is verdicts.Verdict.RAN or submission.id_taken:
+            return forwarding.RelayResult(
+                submission.verdict,
+                submission.reason,
+                foreign=submission.id_taken,
             )
-        verdict = handed.verdict
-    relayed = await forwarding.hand_in(frontend.asking, job)
+        verdict = submission.verdict
+    relayed = await forwarding.submit(frontend.asking, job)
     if relayed.verdict is verdicts.Verdict.NOT_RUN and not relayed.foreign:
-        return forwarding.Relayed(verdict, relayed.reason)
+        return forwarding.RelayResult(verdict, relayed.reason)
     return relayed
 
 
-def _told(state: model.State) -> http.Response:
+def _state_response(state: model.State) -> http.Response:
     return http.Response(200, [JSON], callers.encode_state(state))
 
 
-async def _state(
+async def _get_state(
     frontend: Frontend, job: ids.JobId, tenant: ids.TenantId
 ) -> http.Response:
     began_s = clock.now_s()
     try:
-        told = await askings.state(frontend.asking, job)
+        answer = await askings.fetch_state(frontend.asking, job)
     except errors.CallFailed as error:
         _log('state-unknown', job, began_s, why=error.reason)
         return _refusal(503, 'the state cannot be read now')
-    # Of another tenant's job nobody learns that it exists.
-    if told.state is None or not access.may_touch(told.tenant, tenant):
+    # Callers can't learn whether another tenant's job exists.
+    if answer.state is None or not access.may_touch(answer.tenant, tenant):
         _log('no-such-job', job, began_s, tenant=tenant)
         return http.Response(410, [], b'no such job\n')
-    return _told(told.state)
+    return _state_response(answer.state)
 
 
 async def _cancel(
@@ -337,25 +344,25 @@
 ) -> http.Response:
     began_s = clock.now_s()
     try:
-        there = await _mark_cancelled(frontend, job, tenant)
+        exists = await _mark_cancelled(frontend, job, tenant)
     except errors.CallFailed as error:
         _log('not-cancelled', job, began_s, why=error.reason)
         status = 503
         if error.verdict is not verdicts.Verdict.NOT_RUN:
             status = 504
         return _refusal(status, 'not known to be cancelled')
-    _log('cancelled', job, began_s, there=there)
-    if not there:
+    _log('cancelled', job, began_s, there=exists)
+    if not exists:
         return http.Response(410, [], b'no such job\n')
-    # The caller doesn't wait for it.
-    await curio.spawn(askings.tell_cancel, frontend.asking, job, daemon=True)
-    return _told(model.State.CANCELLED)
+    # The caller doesn't wait for the notification.
+    await curio.spawn(askings.notify_cancel, frontend.asking, job, daemon=True)
+    return _state_response(model.State.CANCELLED)
 
 
 async def _mark_cancelled(
     frontend: Frontend, job: ids.JobId, tenant: ids.TenantId
 ) -> bool:
-    """Mark a job as cancelled; False if the tenant has no such job.
+    """Mark a job as cancelled; return False if the tenant has no such job.
 
     :raises errors.CallFailed: neither this server nor another could do it
     """
@@ -374,9 +381,11 @@
     raise errors.CallFailed(verdict, relayed.reason)
 
 
-async def _pending(frontend: Frontend, queue: queues.Queue) -> http.Response:
+async def _get_pending(
+    frontend: Frontend, queue: queues.Queue
+) -> http.Response:
     try:
-        count = await askings.pending(frontend.asking, queue.name)
+        count = await askings.count_pending(frontend.asking, queue.name)
     except errors.CallFailed as error:
         event_log.emit(
             'caller', 'pending-unknown', queue=queue.name, why=error.reason
--- a/oleanderwood/frontend/intake.py
+++ b/oleanderwood/frontend/intake.py
@@ -1,4 +1,4 @@
-"""Handing jobs in and cancelling them: written before it is answered."""
+"""Submit and cancel jobs; answers follow once the store has the write."""
 
 import collections.abc
 import dataclasses
@@ -17,39 +17,40 @@
 from oleanderwood.tenants import access
 from oleanderwood import verdict as verdicts
 
-MOST_A_WRITE = (stores.MAX_WRITES - 1) // 2
-"""Jobs written at once; each takes a condition and a write, and one
-condition is that the leader is still the one that we know."""
+MAX_JOBS_PER_WRITE = (stores.MAX_WRITES - 1) // 2
+"""Jobs in one transaction; each takes a condition and a write, and one
+condition is that the leader is still the one this server knows."""
 
-ATTEMPTS = 3
-"""Times that a write without an answer is tried."""
+WRITE_ATTEMPTS = 3
+"""Attempts at a write that gets no answer."""
 
-TRIES = ATTEMPTS + 1
-"""One more than that: a write that finds another leader than the one that we
-know is tried again at once, which costs a caller one more answer of the
-store, 4 ms."""
+BATCH_ATTEMPTS = WRITE_ATTEMPTS + 1
+"""One attempt more: a write that finds another leader than the one known here
+is retried at once, which delays a caller by one more answer of the store, 4
+ms."""
 
-WAIT_S = 2.0
-"""Longest time that a caller waits for the write; callers wait 3 s in all."""
+WRITE_TIMEOUT_S = 2.0
+"""Time for which a caller waits for the write; callers wait 3 s in all."""
 
 
 @dataclasses.dataclass
-class Handed:
+class Submission:
     """One job on its way to the store.
 
-    :ivar verdict: RAN once it lies there
-    :ivar foreign: another tenant has a job of its id
+    :ivar verdict: RAN once the job is stored
+    :ivar already_stored: the store held the job before this write
+    :ivar id_taken: another tenant has a job of its id
     """
 
     job: model.Job
     verdict: verdicts.Verdict | None = None
     reason: str = ''
-    known: bool = False
-    foreign: bool = False
+    already_stored: bool = False
+    id_taken: bool = False
     done: curio.Event = dataclasses.field(default_factory=curio.Event)
 
 
-Written = collections.abc.Callable[
+WrittenCallback = collections.abc.Callable[
     [list[model.Job]], collections.abc.Awaitable[None]
 ]
 
@@ -59,85 +60,90 @@
     """Jobs that wait for the next write.
 
     :ivar roles: who leads, as far as this server knows
-    :ivar written: gets jobs that lie in the store now
-    :ivar lost: says whether the store doesn't answer any more, so that
-        trying again is no use
+    :ivar on_written: called with jobs that were stored by a write
+    :ivar is_store_lost: returns whether the store has stopped answering, so
+        that retries are useless
     """
 
     store: stores.Store
     roles: roles_.Roles
-    written: Written
-    lost: collections.abc.Callable[[], bool]
-    waiting: list[Handed] = dataclasses.field(default_factory=list)
+    on_written: WrittenCallback
+    is_store_lost: collections.abc.Callable[[], bool]
+    waiting: list[Submission] = dataclasses.field(default_factory=list)
     arrived: curio.Event = dataclasses.field(default_factory=curio.Event)
 
 
-async def hand_in(intake: Intake, job: model.Job) -> Handed:
-    """Write a job; gives what came of it."""
-    handed = Handed(job)
-    intake.waiting.append(handed)
+async def submit(intake: Intake, job: model.Job) -> Submission:
+    """Write a job and return the outcome."""
+    submission = Submission(job)
+    intake.waiting.append(submission)
     await intake.arrived.set()
-    async with curio.ignore_after(WAIT_S):
-        await handed.done.wait()
-    if handed.verdict is None:
-        handed.verdict = verdicts.Verdict.MAY_HAVE_RUN
-        handed.reason = 'the store did not answer in time'
-        if handed in intake.waiting:
-            intake.waiting.remove(handed)
-            handed.verdict = verdicts.Verdict.NOT_RUN
-    return handed
+    async with curio.ignore_after(WRITE_TIMEOUT_S):
+        await submission.done.wait()
+    if submission.verdict is None:
+        submission.verdict = verdicts.Verdict.MAY_HAVE_RUN
+        submission.reason = 'the store did not answer in time'
+        if submission in intake.waiting:
+            intake.waiting.remove(submission)
+            submission.verdict = verdicts.Verdict.NOT_RUN
+    return submission
 
 
 async def write_always(intake: Intake) -> None:
-    """Write what waits, one transaction after another, until cancelled.
+    """Write waiting jobs, one batch after another, until cancelled.
 
-    Each is written by a task of its own, so that one that gets no answer
-    doesn't hold up the others.
+    Each batch has its own task, so that one without an answer doesn't delay
+    the others.
     """
     while True:
         await intake.arrived.wait()
         intake.arrived.clear()
         while intake.waiting:
-            batch = intake.waiting[:MOST_A_WRITE]
-            del intake.waiting[:MOST_A_WRITE]
-            await curio.spawn(_write, intake, batch, daemon=True)
+            batch = intake.waiting[:MAX_JOBS_PER_WRITE]
+            del intake.waiting[:MAX_JOBS_PER_WRITE]
+            await curio.spawn(_write_with_retries, intake, batch, daemon=True)
 
 
-async def _write(intake: Intake, batch: list[Handed]) -> None:
-    left = batch
+async def _write_with_retries(intake: Intake, batch: list[Submission]) -> None:
+    remaining = batch
     try:
-        for _attempt in range(TRIES):
-            left = await _try(intake, left)
-            if not left or intake.lost():
+        for _attempt in range(BATCH_ATTEMPTS):
+            remaining = await _try_write(intake, remaining)
+            if not remaining or intake.is_store_lost():
                 break
     finally:
-        for handed in left:
-            if handed.verdict is None:
-                handed.verdict = verdicts.Verdict.MAY_HAVE_RUN
-            await handed.done.set()
+        for submission in remaining:
+            if submission.verdict is None:
+                submission.verdict = verdicts.Verdict.MAY_HAVE_RUN
+            await submission.done.set()
     done = [
-        handed.job
-        for handed in batch
-        if handed.verdict is verdicts.Verdict.RAN and not handed.known
+        submission.job
+        for submission in batch
+        if submission.verdict is verdicts.Verdict.RAN
+        and not submission.already_stored
     ]
     if done:
-        await intake.written(done)
+        await intake.on_written(done)
 
 
-async def _try(intake: Intake, batch: list[Handed]) -> list[Handed]:
-    """Write a batch; gives those that have to be tried again.
+async def _try_write(
+    intake: Intake, batch: list[Submission]
+) -> list[Submission]:
+    """Write a batch; return the submissions that have to be retried.
 
     Each job carries the term under which it is accepted, and the store checks
-    that no other has begun. A former leader that acts on for a while can tell
-    by it that the job isn't its own, and the next one that the job may not
-    have been started by an earlier leader.
+    that no other term has begun. The term shows a previous leader that is
+    still acting that the job isn't its own, and the next leader that no
+    earlier leader can have started the job.
     """
-    keys: dict[str, list[Handed]] = {}
+    keys: dict[str, list[Submission]] = {}
     leader = intake.roles.leader
     term = leader.term if leader is not None else 0
-    for handed in batch:
-        handed.job = msgspec.structs.replace(handed.job, term=term)
-        keys.setdefault(record.job_key(handed.job.job), []).append(handed)
+    for submission in batch:
+        submission.job = msgspec.structs.replace(submission.job, term=term)
+        keys.setdefault(record.job_key(submission.job.job), []).append(
+            submission
+        )
     conditions = dict.fromkeys(keys, 0)
     conditions[roles_.LEADER_KEY] = intake.roles.leader_revision
     try:
@@ -148,68 +154,68 @@
                 key: msgspec.json.encode(rows[0].job)
                 for key, rows in keys.items()
             },
-            timeout_s=WAIT_S / ATTEMPTS,
+            timeout_s=WRITE_TIMEOUT_S / WRITE_ATTEMPTS,
         )
     except stores.Conflict as conflict:
         roles_.learn(intake.roles, conflict.items)
-        there = {
+        stored = {
             item.key: item.value for item in conflict.items if not item.removed
         }
-        left = []
+        remaining = []
         for key, rows in keys.items():
-            if key not in there:
-                left += rows
+            if key not in stored:
+                remaining += rows
                 continue
-            for handed in rows:
-                await _settle_known(handed, there[key])
-        return left
+            for submission in rows:
+                await _settle_known(submission, stored[key])
+        return remaining
     except errors.CallFailed as error:
         return await _after_failure(batch, error)
-    for handed in batch:
-        await _settle(handed, verdicts.Verdict.RAN, '')
+    for submission in batch:
+        await _settle(submission, verdicts.Verdict.RAN, '')
     return []
 
 
 async def _after_failure(
-    batch: list[Handed], error: errors.CallFailed
-) -> list[Handed]:
+    batch: list[Submission], error: errors.CallFailed
+) -> list[Submission]:
     event_log.emit(
         'caller',
         'not-written',
-        jobs=[handed.job.job for handed in batch],
+        jobs=[submission.job.job for submission in batch],
         verdict=error.verdict.value,
         why=error.reason,
     )
     if error.verdict is verdicts.Verdict.MAY_HAVE_RUN:
-        for handed in batch:
-            handed.reason = 'in doubt'
+        for submission in batch:
+            submission.reason = 'in doubt'
         return batch
-    left = []
-    for handed in batch:
-        if handed.reason == 'in doubt':
-            # An earlier try may yet be carried out.
-            left.append(handed)
+    remaining = []
+    for submission in batch:
+        if submission.reason == 'in doubt':
+            # An earlier attempt may still be carried out.
+            remaining.append(submission)
         else:
-            await _settle(handed, verdicts.Verdict.NOT_RUN, error.reason)
-    return left
+            await _settle(submission, verdicts.Verdict.NOT_RUN, error.reason)
+    return remaining
 
 
-async def _settle_known(handed: Handed, value: bytes) -> None:
-    """Settle a job whose id the store holds, of this tenant or another."""
-    if is_of(value, handed.job.tenant):
-        handed.known = True
-        await _settle(handed, verdicts.Verdict.RAN, 'known')
+async def _settle_known(submission: Submission, value: bytes) -> None:
+    """Settle a job whose id is in the store, for this tenant or another."""
+    if belongs_to(value, submission.job.tenant):
+        submission.already_stored = True
+        await _settle(submission, verdicts.Verdict.RAN, 'known')
         return
-    handed.foreign = True
+    submission.id_taken = True
     await _settle(
-        handed, verdicts.Verdict.NOT_RUN, 'another tenant has this id'
+        submission, verdicts.Verdict.NOT_RUN, 'another tenant has this id'
     )
 
 
-def is_of(value: bytes, tenant: ids.TenantId) -> bool:
-    """Say whether a job as it lies in the store is a tenant's, or nobody's.
+def belongs_to(value: bytes, tenant: ids.TenantId) -> bool:
+    """Return whether a stored job belongs to a tenant, or to nobody.
 
-    One that can't be read is nobody's to touch.
+    A job that can't be read belongs to no tenant, and nobody may change it.
     """
     try:
         owner = msgspec.json.decode(value, type=model.Owned).tenant
@@ -219,32 +225,33 @@
 
 
 async def _settle(
-    handed: Handed, verdict: verdicts.Verdict, reason: str
+    submission: Submission, verdict: verdicts.Verdict, reason: str
 ) -> None:
-    handed.verdict = verdict
-    handed.reason = reason
-    await handed.done.set()
+    submission.verdict = verdict
+    submission.reason = reason
+    await submission.done.set()
 
 
 async def cancel(
     store: stores.Store, job: ids.JobId, tenant: ids.TenantId
 ) -> bool:
-    """Mark a job as cancelled; False if the tenant has no such job.
+    """Mark a job as cancelled; return False if the tenant has no such job.
 
-    :raises errors.CallFailed: with the verdict of all tries together: that
-        the last one did nothing says nothing of a mark written before it
+    :raises errors.CallFailed: with the verdict of all attempts together: a
+        last attempt without effect doesn't exclude that an earlier one was
+        written
     """
     in_doubt = False
-    for attempt in range(ATTEMPTS):
+    for attempt in range(WRITE_ATTEMPTS):
         try:
-            kept = await stores.read(store, record.job_key(job))
-            if kept is None or not is_of(kept.value, tenant):
+            stored = await stores.read(store, record.job_key(job))
+            if stored is None or not belongs_to(stored.value, tenant):
                 return False
             await _mark_cancelled(store, job)
             return True
         except errors.CallFailed as error:
             in_doubt |= error.verdict is verdicts.Verdict.MAY_HAVE_RUN
-            if attempt < ATTEMPTS - 1:
+            if attempt < WRITE_ATTEMPTS - 1:
                 await curio.sleep(0.05)
             elif in_doubt:
                 raise errors.CallFailed(
--- a/tests/test_first_sizes.py
+++ b/tests/test_first_sizes.py
@@ -1,6 +1,6 @@
-"""Tests of what a leader takes for the pools' first sizes and fixed machines.
+"""Tests of how a leader finds initial pool sizes and fixed machines.
 
-The machines' list is as the platform would show it.
+The list of machines is as the platform would return it.
 """
 
 import types
--- a/tests/test_gang_beyond_fleet.py
+++ b/tests/test_gang_beyond_fleet.py
@@ -1,14 +1,11 @@
-"""A step that no pool could ever hold must not draw all machines.
-
-What users would see: one job of long-running tasks that work only together,
-larger than all machines there are, takes one machine after another from
-standby and from other pools, and keeps them all for good; each is paid for.
-Order of events: the gang fits on none of its pool's workers, so the pool
-gets one machine more; it still doesn't fit, and so on. Jobs of other tasks
-end this once they are worthless; one that lasts never is.
-
-Cause: whether another machine could help is asked for a single task of the
-gang, also where all machines together are too few for the whole.
+"""A gang that no pool could hold must not attract all machines.
+
+A gang of long-running tasks that needs more machines than exist took one
+machine after another from standby and other pools, and kept them all: the gang
+didn't fit on its pool's workers, so the pool got one machine more, and so on.
+The check asked whether another machine could hold one task of the gang, not
+whether all machines together could hold the gang. Other jobs end this when
+their deadline has passed; long-running ones have none.
 """
 
 import pytest
--- a/tests/test_handing_in.py
+++ b/tests/test_handing_in.py
@@ -24,70 +24,74 @@
 
 def _intake(world) -> intakes.Intake:
     async def written(jobs):
-        told.extend(jobs)
+        written_jobs.extend(jobs)
 
-    told: list[model.Job] = []
+    written_jobs: list[model.Job] = []
     intake = intakes.Intake(
         platform_stores.Store(servers.STORE_ADDRESS),
         roles_.Roles(),
         written,
         lambda: False,
     )
-    return intake, told
+    return intake, written_jobs
 
 
 def _leader(term: int) -> bytes:
     return msgspec.json.encode(roles_.Leader(term, 's9', 's9/1', '10.0.0.9:1'))
 
 
-def _kept(world, job: model.Job) -> model.Job:
+def _stored(world, job: model.Job) -> model.Job:
     value = world.store.items[record.job_key(job.job)].value
     return msgspec.json.decode(value, type=model.Job)
 
 
 def test_job_carries_the_term_that_holds_as_it_is_written():
-    """A server that hasn't heard of the newest leader learns it by the way."""
+    """A server learns of a newer leader from the conflict of its write."""
 
     async def main(world):
-        intake, told = _intake(world)
+        intake, written_jobs = _intake(world)
         await curio.spawn(intakes.write_always, intake, daemon=True)
-        await intakes.hand_in(intake, _job(1))
+        await intakes.submit(intake, _job(1))
         calls = world.store.calls
         for term in (4, 5):
             await stores.put(world.store, roles_.LEADER_KEY, _leader(term))
-            handed = await intakes.hand_in(intake, _job(term))
-            assert handed.verdict is verdicts.Verdict.RAN
-        await intakes.hand_in(intake, _job(6))
-        terms = [_kept(world, _job(number)).term for number in (1, 4, 5, 6)]
-        return terms, [job.term for job in told], world.store.calls - calls
-
-    kept, told, calls = servers.run(main)
-    assert kept == told == [0, 4, 5, 5]
-    # Two calls at each change of leader, one without.
+            submission = await intakes.submit(intake, _job(term))
+            assert submission.verdict is verdicts.Verdict.RAN
+        await intakes.submit(intake, _job(6))
+        terms = [_stored(world, _job(number)).term for number in (1, 4, 5, 6)]
+        return (
+            terms,
+            [job.term for job in written_jobs],
+            world.store.calls - calls,
+        )
+
+    stored, written_jobs, calls = servers.run(main)
+    assert stored == written_jobs == [0, 4, 5, 5]
+    # Two calls after each change of leader, otherwise one.
     assert calls == 5
 
 
-def test_as_many_jobs_as_one_write_takes_fit_beside_the_condition():
+def test_full_write_of_jobs_has_room_for_its_condition():
     async def main(world):
-        intake, _told = _intake(world)
-        handed = [intakes.Handed(_job(n)) for n in range(40)]
-        intake.waiting += handed
+        intake, _written_jobs = _intake(world)
+        submissions = [intakes.Submission(_job(n)) for n in range(40)]
+        intake.waiting += submissions
         await intake.arrived.set()
         await curio.spawn(intakes.write_always, intake, daemon=True)
-        for row in handed:
+        for row in submissions:
             await row.done.wait()
-        return [row.verdict for row in handed], world.store.largest
+        return [row.verdict for row in submissions], world.store.largest
 
     verdicts_, largest = servers.run(main)
     assert set(verdicts_) == {verdicts.Verdict.RAN}
     assert largest <= platform_stores.MAX_WRITES
 
 
-def test_unanswered_write_under_an_earlier_leader_has_no_effect_later():
-    """What is tried again under the next leader stays its job alone."""
+def test_unanswered_write_under_a_previous_leader_has_no_effect_later():
+    """A job that is retried under the next leader belongs to it alone."""
 
     async def main(world):
-        intake, _told = _intake(world)
+        intake, _written_jobs = _intake(world)
         await stores.put(world.store, roles_.LEADER_KEY, _leader(4))
         roles_.take(
             intake.roles,
@@ -97,20 +101,20 @@
         )
         world.network.late_share[servers.STORE_ADDRESS] = 1.0
         await curio.spawn(intakes.write_always, intake, daemon=True)
-        task = await curio.spawn(intakes.hand_in, intake, _job(1))
+        task = await curio.spawn(intakes.submit, intake, _job(1))
         await curio.sleep(0.1)
         world.network.late_share.clear()
         await stores.put(world.store, roles_.LEADER_KEY, _leader(5))
-        handed = await task.join()
+        submission = await task.join()
         await curio.sleep(15.0)
-        return handed, _kept(world, _job(1))
+        return submission, _stored(world, _job(1))
 
-    handed, kept = servers.run(main)
-    assert handed.verdict is verdicts.Verdict.RAN
-    assert handed.job.term == kept.term == 5
+    submission, stored = servers.run(main)
+    assert submission.verdict is verdicts.Verdict.RAN
+    assert submission.job.term == stored.term == 5
 
 
-def test_leader_ends_at_a_job_of_a_later_term_and_starts_nothing_of_it():
+def test_job_of_a_later_term_deposes_the_leader_and_is_not_started():
     async def main(world):
         process = await servers.start(world)
         await curio.sleep(2.0)
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -1,4 +1,4 @@
-"""Jobs handed in and cancelled at servers that don't reach the store."""
+"""Jobs submitted and cancelled at servers that can't reach the store."""
 
 import json
 
@@ -17,7 +17,7 @@
 ).encode()
 
 
-async def _caller(world, process, method):
+async def _call(world, process, method):
     handler = world.network.handlers[process.callers]
     headers = {'host': callers_.HOST}
     body = BODY if method == 'POST' else b''
@@ -37,26 +37,26 @@
         world.network.cuts.add((process.name, servers.STORE_ADDRESS))
 
 
-def test_server_without_the_store_hands_in_through_another():
+def test_server_without_the_store_submits_through_another():
     async def main(world):
         _first, second = await _two_servers(world)
         _cut(world, second)
         await curio.sleep(2.0)
-        assert await _caller(world, second, 'POST') == 200
+        assert await _call(world, second, 'POST') == 200
         assert f'ow/in/job/{JOB}' in world.store.items
-        assert await _caller(world, second, 'GET') == 200
-        assert await _caller(world, second, 'DELETE') == 200
+        assert await _call(world, second, 'GET') == 200
+        assert await _call(world, second, 'DELETE') == 200
         assert f'ow/in/cancel/{JOB}' in world.store.items
 
     build.run(main, day.configuration())
 
 
-def test_first_job_after_the_cut_is_handed_in_within_its_time():
+def test_first_job_after_the_cut_is_submitted_in_time():
     async def main(world):
         _first, second = await _two_servers(world)
         _cut(world, second)
         began_s = await curio.clock()
-        assert await _caller(world, second, 'POST') == 200
+        assert await _call(world, second, 'POST') == 200
         assert await curio.clock() - began_s < 2.9
 
     build.run(main, day.configuration())
@@ -64,12 +64,12 @@
 
 def test_without_any_way_to_the_store_a_job_is_refused_at_once():
     async def main(world):
-        both = await _two_servers(world)
-        _cut(world, *both)
+        processes = await _two_servers(world)
+        _cut(world, *processes)
         await curio.sleep(2.0)
         began_s = await curio.clock()
-        assert await _caller(world, both[0], 'POST') == 503
-        assert await _caller(world, both[0], 'DELETE') == 503
+        assert await _call(world, processes[0], 'POST') == 503
+        assert await _call(world, processes[0], 'DELETE') == 503
         assert await curio.clock() - began_s < 0.1
         for pair in list(world.network.cuts):
             world.network.cuts.discard(pair)
@@ -86,29 +86,29 @@
     assert result.accepted == result.handed_in
 
 
-def test_cancelled_job_is_stopped_though_the_watch_hears_nothing():
+def test_cancelled_job_is_stopped_without_watch_events():
     async def main(world):
         first, second = await _two_servers(world)
-        assert await _caller(world, second, 'POST') == 200
-        # The leader hears of it at about the time that the caller does.
+        assert await _call(world, second, 'POST') == 200
+        # The leader is notified at about the time that the caller is answered.
         await curio.sleep(0.01)
         entry = first.state.leader.ledger.entries[JOB]
-        # The leader's watches hear nothing any more.
+        # The leader's watches get no more changes.
         _cut(world, first)
-        assert await _caller(world, second, 'DELETE') == 200
+        assert await _call(world, second, 'DELETE') == 200
         await curio.sleep(0.1)
         assert entry.state is model.State.CANCELLED
 
     build.run(main, day.configuration())
 
 
-def test_cancel_that_may_be_done_is_not_told_as_not_done():
+def test_uncertain_cancel_is_not_reported_as_not_done():
     async def main(world):
         _first, second = await _two_servers(world)
-        assert await _caller(world, second, 'POST') == 200
-        # The mark is written, its answer lost, and then nobody reaches the
-        # store any more.
+        assert await _call(world, second, 'POST') == 200
+        # The mark is written and its answer lost; after that no server gets an
+        # answer from the store.
         world.network.lost_share[servers.STORE_ADDRESS] = 1.0
-        assert await _caller(world, second, 'DELETE') == 504
+        assert await _call(world, second, 'DELETE') == 504
 
     build.run(main, day.configuration())
--- a/tests/test_revoked_keys.py
+++ b/tests/test_revoked_keys.py
@@ -1,13 +1,9 @@
-"""Keys that were taken away stop in time, at every server.
-
-What users saw: a key that a configuration had taken away was served for as
-long as its caller liked, at servers that the store turned away until the end
-of that.
-Order of events: the store turns a server away; the operator takes a key
-away; its caller goes on calling that server.
-Cause: a server judged by its last configuration, however old, and nothing
-told it that it was.
-Evidence: the calls below were answered with 200 long after their time.
+"""Tests that revoked keys stop working in time at every server.
+
+A server judged keys by its last configuration, however old, and had no way to
+detect its age. So a server that the store refused went on accepting a key
+after an operator had revoked it: these calls got 200 long after the revocation
+time.
 """
 
 import curio
@@ -21,13 +17,13 @@
 from tests import utils_tenants as build
 
 REVOCATION_S = 5.0
-"""Time after which no server may serve a key that was taken away."""
+"""Time after which no server may accept a revoked key."""
 
 LEFT = build.TENANTS[1:]
 
 
-async def _until_refused(world, process, key, path=build.PATH):
-    """Give for how long a key goes on being served."""
+async def _served_for_s(world, process, key, path=build.PATH):
+    """Return for how long calls with a key keep succeeding."""
     began_s = await curio.clock()
     last_s = 0.0
     while (at_s := await curio.clock() - began_s) < 2 * REVOCATION_S:
@@ -37,64 +33,64 @@
     return last_s
 
 
-def test_key_stops_at_once_where_the_configuration_is_heard():
+def test_key_stops_at_once_with_a_working_watch():
     async def main(world, rows):
         await build.configure(world, *LEFT, version=8)
         return [
-            await _until_refused(world, row, build.FIRST) for row in rows[:1]
+            await _served_for_s(world, row, build.FIRST) for row in rows[:1]
         ]
 
     assert max(build.run(main)) < 1.0
 
 
-STRIKES = {
+FAULTS = {
     'cut': lambda world, row: build.cut(world, row),
     'refused': lambda world, row: world.store.refused.add(row.name),
 }
 
 
-@pytest.mark.parametrize('strike', STRIKES.values(), ids=STRIKES)
-def test_key_stops_in_time_where_nobody_can_tell_the_server(strike):
+@pytest.mark.parametrize('inject', FAULTS.values(), ids=FAULTS)
+def test_key_stops_in_time_at_a_server_without_the_store(inject):
     async def main(world, rows):
         row = build.follower(rows)
-        strike(world, row)
+        inject(world, row)
         await build.configure(world, *LEFT, version=8)
-        return await _until_refused(world, row, build.FIRST)
+        return await _served_for_s(world, row, build.FIRST)
 
     assert build.run(main) < REVOCATION_S
 
 
-def test_key_stops_in_time_while_the_whole_store_is_away():
+def test_key_stops_in_time_while_the_store_is_down():
     async def main(world, rows):
         await build.configure(world, *LEFT, version=8)
         world.store.down = 'silent'
-        times = [await _until_refused(world, rows[0], build.FIRST)]
+        times = [await _served_for_s(world, rows[0], build.FIRST)]
         return times
 
     assert max(build.run(main)) < REVOCATION_S
 
 
-def test_renewed_lease_proves_nothing_while_the_watch_hears_nothing():
+def test_renewed_lease_proves_nothing_without_watch_events():
     async def main(world, rows):
         row = build.follower(rows)
         address = servers.STORE_ADDRESS
         handler = world.network.handlers[address]
 
-        async def deaf(source, method, target, body, headers):
+        async def without_watch(source, method, target, body, headers):
             if source == row.name and 'op%2Fconfig' in target:
                 await curio.sleep(1000.0)
             if source == row.name and 'op/config' in target:
                 await curio.sleep(1000.0)
             return await handler(source, method, target, body, headers)
 
-        world.network.handlers[address] = deaf
+        world.network.handlers[address] = without_watch
         await build.configure(world, *LEFT, version=8)
         for other in rows:
             if other is not row:
-                # Nobody else can judge for it either.
+                # No other server can judge for it either.
                 other.state.configuration_readable = False
                 other.state.configuration_proven_s = -1e9
-        last_s = await _until_refused(world, row, build.FIRST)
+        last_s = await _served_for_s(world, row, build.FIRST)
         return last_s, forwarding.store_lost(row.state)
 
     last_s, lost = build.run(main)
@@ -102,7 +98,7 @@
 
 
 def test_server_without_the_store_lets_another_judge():
-    """Callers with good keys hardly notice; revoked ones are refused."""
+    """Valid keys work with little delay; revoked ones are refused."""
 
     async def main(world, rows):
         row = build.follower(rows)
@@ -110,15 +106,15 @@
         await build.configure(world, *LEFT, version=8)
         await curio.sleep(build.CUT_OFF_S)
         began_s = await curio.clock()
-        seen = [
+        statuses = [
             await build.status(world, row, method, key=key)
             for method in ('POST', 'GET', 'DELETE')
             for key in (build.SECOND, build.FIRST)
         ]
-        return seen, await curio.clock() - began_s
+        return statuses, await curio.clock() - began_s
 
-    seen, took_s = build.run(main)
-    assert seen == [200, 401, 200, 401, 200, 401]
+    statuses, took_s = build.run(main)
+    assert statuses == [200, 401, 200, 401, 200, 401]
     assert took_s < 0.5
 
 
@@ -134,7 +130,7 @@
     assert build.run(main) == 200
 
 
-def test_without_anybody_to_ask_the_call_is_refused_at_once_and_not_run():
+def test_call_that_no_server_can_judge_is_refused_at_once_and_not_run():
     async def main(world, rows):
         build.cut(world, *rows)
         await curio.sleep(build.CUT_OFF_S)
@@ -143,11 +139,11 @@
         took_s = await curio.clock() - began_s
         world.network.cuts.clear()
         await curio.sleep(5.0)
-        there = f'ow/in/job/{build.JOB}' in world.store.items
-        return answer.status, took_s, there
+        exists = f'ow/in/job/{build.JOB}' in world.store.items
+        return answer.status, took_s, exists
 
-    status, took_s, there = build.run(main)
-    assert (status, there) == (503, False)
+    status, took_s, exists = build.run(main)
+    assert (status, exists) == (503, False)
     assert took_s < 0.1
 
 
@@ -163,7 +159,7 @@
 
 
 def test_server_with_an_older_configuration_judges_for_nobody():
-    """Its own could serve what the asker knows to be taken away."""
+    """It might accept a key that the asking server knows as revoked."""
 
     async def main(world, rows):
         row = build.follower(rows)
@@ -177,8 +173,8 @@
     assert build.run(main) == 503
 
 
-def test_key_is_judged_after_the_last_pause():
-    """A body may come so slowly that the key was taken away meanwhile."""
+def test_key_is_judged_after_the_body_was_read():
+    """The key may be revoked while a slow body arrives."""
 
     async def main(world, rows):
         row = build.follower(rows)
@@ -192,7 +188,7 @@
 
 
 def test_configuration_that_cannot_be_read_ends_the_trust_in_keys():
-    """Which keys it takes away isn't known."""
+    """It is unknown which keys the malformed configuration revokes."""
 
     async def main(world, rows):
         await stores.put(world.store, 'op/config', b'{"version":"x"')
@@ -210,11 +206,11 @@
         build.cut(world, row)
         await servers.start(world.network, row)
         await curio.sleep(1.0)
-        dark = await build.status(world, row, 'GET', build.PATH, build.FIRST)
+        before = await build.status(world, row, 'GET', build.PATH, build.FIRST)
         world.network.cuts.clear()
         await curio.sleep(1.5)
-        seen = await build.status(world, row, 'GET', build.PATH, build.FIRST)
-        return dark, seen
+        after = await build.status(world, row, 'GET', build.PATH, build.FIRST)
+        return before, after
 
     assert build.run(main) == (503, 401)
 
@@ -230,7 +226,7 @@
     assert build.run(main) == 3.0
 
 
-def test_log_tells_which_version_took_a_key_away(monkeypatch):
+def test_log_names_the_version_that_revoked_a_key(monkeypatch):
     lines = []
     monkeypatch.setattr(
         'oleanderwood.event_log.emit',
--- a/tests/test_shortage_cost.py
+++ b/tests/test_shortage_cost.py
@@ -1,14 +1,11 @@
-"""What a pool lacks must not cost a pass over all workers for each step.
-
-What users would see: under load everything comes late; the leader's timers
-are late, and it hands over to a server that fares alike. Cause: ten times a
-second, for each waiting step that asks for a label, a gang or advice, the
-room of each worker of the pool is built anew from all its runs, also if the
-pool is known to lack a machine already.
-
-Evidence: with 100 workers of eight runs and 300 waiting gangs it took 108 ms
-of processor time a pass, more than the pass's 100 ms; 300 steps with a label
-47 ms.
+"""The check of what a pool lacks must not visit all workers for each step.
+
+Ten times a second, for each waiting step with a label, a gang or advice, the
+free capacity of each worker of the pool was computed again from all its runs,
+even if the pool was known to lack a machine already. With 100 workers of eight
+runs and 300 waiting gangs, a pass took 108 ms of processor time, more than its
+interval of 100 ms; 300 steps with a label took 47 ms. The leader's timers were
+late, and it handed over to a server that was no faster.
 """
 
 from emulator import day
@@ -26,11 +23,11 @@
 STEPS = 50
 WORKERS = 10
 
-MOST_ROOMS = 2 * WORKERS
-"""All workers once, and once more for another way to count."""
+MAX_COMPUTED = 2 * WORKERS
+"""Each worker once, and once more to allow for another way of counting."""
 
 
-def test_rooms_are_built_once_a_pass_and_not_for_each_step(monkeypatch):
+def test_free_capacity_is_computed_once_a_pass_and_not_per_step(monkeypatch):
     built = []
     real = shortage._idle
 
@@ -54,4 +51,4 @@
 
     monkeypatch.setattr(shortage, '_idle', idle)
     servers.run(main, CONFIGURATION)
-    assert 0 < len(built) <= MOST_ROOMS
+    assert 0 < len(built) <= MAX_COMPUTED
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -1,9 +1,10 @@
-"""Targets of requests: paths, whole URLs, and what is neither.
+"""Tests of request targets: paths, absolute URLs, and malformed ones.
 
-Story: a target such as `//[` was answered 500, since it was read as a URL
-whose host is malformed; `//drafts/ID` lost its first part in the same way. A
-whole URL was looked up under the header's host instead of its own, though it
-goes before. Any word was a method that got 404 beside a job's path.
+A target such as `//[` was read as a URL with a malformed host and answered
+with 500; `//drafts/ID` lost its first part in the same way. An absolute URL
+was looked up under the host of the header, although its own host has
+precedence. Methods that aren't supported got 404 instead of 405 for paths that
+aren't a job's.
 """
 
 import curio
