--- a/oleanderwood/leading/confirming.py
+++ b/oleanderwood/leading/confirming.py
@@ -1,8 +1,8 @@
-"""Whether a leader that doesn't reach the store may go on.
+"""Decides whether a leader that cannot reach the store may go on.
 
-While the store is down nobody can take over, and the leader has to go on. If
-the store only refuses the leader, another one takes over, and the first has
-to stop. The other servers tell which it is.
+While the store is down no server can take over, and the leader has to go on.
+If only the leader cannot reach the store, another server takes over and the
+leader has to stop. The other servers' answers tell the two cases apart.
 """
 
 import curio
@@ -18,32 +18,35 @@
 from oleanderwood.platform import transport
 
 CHECK_S = 0.25
-"""Time between two rounds of questions while the lease isn't renewed."""
+"""Interval between two rounds of calls while the lease is not renewed, in
+seconds."""
 
 CONFIRMED_S = 1.0
-"""How long a round's result counts. A later leader waits that much longer
-for what this one may have ordered."""
+"""How long the result of a round is valid, in seconds. A later leader waits
+that much longer for tasks that this one may have started."""
 
 UNREACHED_S = 12.0
-"""How long a leader acts at most since a renewal of its lease that the store
-has answered: all that confirm it may be on its side of a cut. Outages that
-users reported are shorter."""
+"""How long a leader acts at most after the last answered renewal of its lease,
+in seconds: all servers that confirm it may be on its side of a network cut.
+Outages reported by users are shorter."""
 
 CONTACT_S = 1.0
-"""A server that was answered by the store within this time reaches it."""
+"""A server counts as reaching the store if the store answered it within this
+time, in seconds."""
 
 ASK_TIMEOUT_S = 0.2
-"""Longest wait for another server's answer, on a network of 1 ms."""
+"""Timeout of a call to another server, in seconds, in a network with a latency
+of 1 ms."""
 
 PATH = '/contact'
 
 
 class Contact(msgspec.Struct, frozen=True):
-    """What a server knows of the store and of who leads.
+    """A server's view of the store and of who leads.
 
-    :ivar process: one life of the server, ``age_s`` long; '' from servers of
-        an earlier release
-    :ivar leading_term: the term that it leads itself; 0 if it doesn't
+    :ivar process: id of the server's incarnation, which is ``age_s`` old;
+        empty from servers of an earlier release
+    :ivar leading_term: the term that this server leads itself; 0 if none
     """
 
     term: int
@@ -54,10 +57,10 @@
 
 
 async def contact(server: states.Server, target: str) -> Contact:
-    """Give what this server answers to the question.
+    """Answer another server's call about contact with the store.
 
-    A later leader that asks tells its term: a leader ends its own, and one
-    that is still taking over doesn't begin.
+    The call of a later leader contains its term: a leader of an earlier term
+    then stops, and a server that is still taking over does not start to lead.
     """
     asker_term = target.removeprefix(PATH).removeprefix('/')
     if asker_term.isdecimal():
@@ -78,7 +81,7 @@
 
 
 async def confirm_always(leader: states.Leader) -> None:
-    """Ask the other servers whenever the lease isn't renewed in time."""
+    """Call the other servers whenever the lease is not renewed in time."""
     confirmed = False
     while True:
         await curio.sleep(CHECK_S / 2)
@@ -103,16 +106,19 @@
 
 
 def _note_renewal(leader: states.Leader) -> None:
-    """Note when the call was sent that renewed the leader's lease last."""
+    """Record the send time of the latest renewal of the leader's lease."""
     sent_s = states.marked_until_s(leader) - lease.lease_s(leader.server)
     leader.renewed_s = max(leader.renewed_s, sent_s)
 
 
 async def _confirmed(leader: states.Leader) -> bool:
-    """Ask all; at least half must answer, and none reach the store.
+    """Return whether the other servers confirm this leader.
 
-    One that nobody answers can't tell whether another leads. That a server's
-    row went proves only that it didn't reach the store then.
+    At least half of them must answer, and none of them may reach the store.
+
+    A leader that gets no answer at all is not confirmed, as it cannot know
+    whether another server leads. The removal of a server's row only proves
+    that it did not reach the store at that time.
     """
     server = leader.server
     others = roles_.peers_lately(server.roles, server.process, clock.now_s())
@@ -138,7 +144,7 @@
 async def ask_all(
     leader: states.Leader, addresses: list[ids.Address]
 ) -> list[Contact | None]:
-    """Ask servers at the same time; None for one that didn't answer."""
+    """Call servers concurrently; None stands for one that did not answer."""
     async with curio.TaskGroup(wait=all) as group:
         for address in addresses:
             await group.spawn(_ask, leader, address)
--- a/oleanderwood/leading/election.py
+++ b/oleanderwood/leading/election.py
@@ -1,4 +1,4 @@
-"""How a server becomes the leader, and how it hands over."""
+"""Election of a leader among the servers."""
 
 import curio
 import msgspec
@@ -14,23 +14,23 @@
 from oleanderwood.pools import fences
 
 TURN_S = 0.05
-"""Head start of each server in line over the next: about ten times what a
-write to the store takes."""
+"""Head start of each candidate over the next one in rank, in seconds: about
+ten times the duration of a write to the store."""
 
 LONGEST_WAIT_S = 0.5
-"""The roles are looked at at least this often."""
+"""Maximum interval between two checks of the roles, in seconds."""
 
 ANSWER_S = 0.5
-"""Longest wait for an answer of the store to a candidate: twice what a slow
-store takes. A write that was carried out without an answer is found by the
-next one's conditions."""
+"""Timeout of a candidate's write to the store, in seconds: twice what a slow
+store takes. If the write succeeded without an answer, the conflict of the next
+write shows that."""
 
 PAUSE_S = 0.1
-"""Pause after a failed attempt."""
+"""Pause after a failed attempt, in seconds."""
 
 
 async def run_always(server: states.Server) -> None:
-    """Lead whenever nobody does, until the server stops."""
+    """Lead whenever no other server does, until the server stops."""
     while not server.stopping:
         await server.roles_changed.wait(LONGEST_WAIT_S)
         if not _vacant(server):
@@ -52,7 +52,7 @@
 
 
 def _vacant(server: states.Server) -> bool:
-    """Say whether nobody leads, as far as we know, and we could."""
+    """Return whether nobody is known to lead and this server could."""
     roles = server.roles
     if not roles.known or server.configuration is None:
         return False
@@ -62,11 +62,11 @@
 
 
 def _was_us(server: states.Server) -> bool:
-    """Say whether the mark of a leader is this server's own.
+    """Return whether the liveness key belongs to this server.
 
-    It is asked only while this process doesn't lead: the mark is that of an
-    earlier life, which surely is dead, or was left by a write of ours whose
-    answer was lost.
+    This is checked only while this process does not lead. The key was then
+    written by an earlier incarnation, which is certainly dead, or by a write
+    of this process whose answer was lost.
     """
     leader = server.roles.leader
     return (
@@ -78,9 +78,9 @@
 
 
 async def _try(server: states.Server) -> tuple[int, int] | None:
-    """Try to become the leader; gives term and revision of the key.
+    """Try to become the leader; return the term and the key's revision.
 
-    :raises errors.CallFailed: with the verdict
+    :raises errors.CallFailed: the write was refused or not answered
     """
     roles = server.roles
     last = roles.leader.term if roles.leader else 0
@@ -119,7 +119,11 @@
 def _after_conflict(
     server: states.Server, conflict: stores.Conflict
 ) -> tuple[int, int] | None:
-    """Learn who leads; it may be us, by a write whose answer was lost."""
+    """Record who leads after a refused write.
+
+    It may be this server, through a write whose answer was lost; then return
+    the term and the revision of the key.
+    """
     roles = server.roles
     found = {item.key: item for item in conflict.items}
     alive = found.get(roles_.ALIVE_KEY)
@@ -132,7 +136,8 @@
     if roles.alive_process != server.process:
         return None
     if leader.term <= server.led_term:
-        # Led once, a term is over: what it has started isn't known any more.
+        # A term is never resumed: what was started in it is not known any
+        # more.
         return None
     return leader.term, roles.leader_revision
 
@@ -140,7 +145,7 @@
 def take_role(
     server: states.Server, row: roles_.Leader, revision: int, lease: int
 ) -> None:
-    """Note that we lead."""
+    """Record that this server leads."""
     roles = server.roles
     roles_.note_leader(roles, row, revision)
     roles_.mark(roles, server.process, revision, lease)
--- a/oleanderwood/leading/fenced_writes.py
+++ b/oleanderwood/leading/fenced_writes.py
@@ -1,7 +1,8 @@
-"""A leader's writes: refused once another leads, and never out of order.
+"""Writes of a leader: refused once another server leads, and kept in order.
 
-A write without an answer may be carried out seconds later. It must not put
-an older value over a newer one, so each names the revision that it replaces.
+An unanswered write may be carried out seconds later. It must not replace a
+newer value with an older one, so each write names the revision that it
+replaces.
 """
 
 from oleanderwood import errors
@@ -12,23 +13,24 @@
 from oleanderwood import verdict as verdicts
 
 KEYS_A_WRITE = (stores.MAX_WRITES - 1) // 2
-"""Each key takes a condition and a write; one condition is the leader's."""
+"""Maximum number of keys in one write: each needs a condition and a write, and
+one more condition is the leader key."""
 
 ATTEMPTS = 5
-"""Times that a write is tried whose condition doesn't hold: one try finds
-the revision that an unanswered write has left."""
+"""How often a write is tried if its condition does not hold; one attempt finds
+the revision left by an unanswered write."""
 
 FIRST_TIMEOUT_S = 0.5
-"""Time after which a write is tried once more, twice what a slow store takes:
-all starts of a new leader wait for its first rosters."""
+"""Timeout of the first attempt, in seconds, twice what a slow store takes: all
+starts of a new leader wait for its first worker lists."""
 
 
 async def write(leader: states.Leader, values: dict[str, bytes]) -> None:
-    """Write a leader's values, at most ``KEYS_A_WRITE`` of them.
+    """Write values of a leader, at most ``KEYS_A_WRITE`` of them.
 
     :raises stores.Conflict: another server leads
     :raises errors.CallFailed: the values may be written, now or later, but
-        not over those of a later call
+        never over those of a later call
     """
     known = leader.written
     timeout_s = FIRST_TIMEOUT_S
@@ -59,12 +61,12 @@
 async def try_write(
     leader: states.Leader, values: dict[str, bytes], part: str, event: str
 ) -> bool:
-    """Write values that may be written later as well; says whether they are.
+    """Write values that may also be written later; return whether they were.
 
-    Ends the term if another server leads.
+    End the term if another server leads.
 
-    :param part: of the log line that tells of a failure
-    :param event: the same
+    :param part: part of the log line that reports a failure
+    :param event: event of that log line
     """
     try:
         await write(leader, values)
@@ -82,7 +84,7 @@
     conflict: stores.Conflict,
     values: dict[str, bytes],
 ) -> None:
-    """Take over the revisions that a refused write has shown.
+    """Adopt the revisions that a refused write has returned.
 
     :raises stores.Conflict: another server leads
     """
@@ -98,5 +100,5 @@
 
 
 def note_read(leader: states.Leader, item: stores.Item) -> None:
-    """Note the revision of a value that a new leader has read."""
+    """Record the revision of a value read by a new leader."""
     leader.written[item.key] = item.revision
--- a/oleanderwood/leading/former.py
+++ b/oleanderwood/leading/former.py
@@ -1,8 +1,9 @@
-"""Leaders of earlier terms, and whether they have surely ended.
+"""Leaders of earlier terms, and whether they have certainly ended.
 
-A leader that is cut off goes on for a while if other servers confirm it. Its
-successor, which can't reach it, waits that much longer for what it may have
-started. One that answers, or has handed over, costs no such wait.
+A leader that is cut off from the store may go on for a while if other servers
+confirm it. A successor that cannot reach it must wait that much longer for
+tasks that it may have started. No such wait is needed if the earlier leader
+answers or has handed over.
 """
 
 import curio
@@ -19,41 +20,43 @@
 from oleanderwood.pools import workers as workers_
 
 ASK_PAUSE_S = 0.25
-"""Time between two rounds of questions to those that haven't answered."""
+"""Interval between two rounds of calls to leaders that have not answered, in
+seconds."""
 
 ORDER_S = 0.5
-"""Time within which an order that was under way as a term ended reaches its
-worker."""
+"""Time, in seconds, within which an order in flight at the end of a term
+reaches its worker."""
 
 SHORT_S = confirming.CONFIRMED_S + ORDER_S
-"""How long orders of earlier leaders may arrive after an election if all of
-those leaders have ended."""
+"""How long after an election orders of earlier leaders may arrive, in seconds,
+if all those leaders have ended."""
 
 LONG_S = confirming.UNREACHED_S + ORDER_S
-"""The same if one of them may be cut off and confirmed by other servers."""
+"""The same, in seconds, if one of those leaders may be cut off and confirmed
+by other servers."""
 
 ENDLESS_S = 1e9
 
 
 def longest_lease_s(leader: states.Leader) -> float:
-    """Give how long a lease may last by the slowest clock of a worker."""
+    """Return the maximum duration of a lease on the slowest worker clock."""
     lease_s = states.task_lease_s(leader.server.settings)
     return lease_s / workers_.SLOW_CLOCK_RATE
 
 
 def leases_end_s(leader: states.Leader, now_s: float) -> float:
-    """Give by when all leases that earlier leaders give have ended."""
+    """Return when all leases granted by earlier leaders have expired."""
     acts_s = LONG_S if _unsettled(leader) else SHORT_S
     return now_s + acts_s + longest_lease_s(leader)
 
 
 def _unsettled(leader: states.Leader) -> list[int]:
-    """Give the earlier terms that aren't known to have ended."""
+    """Return the earlier terms that are not known to have ended."""
     return roles_.unsettled_terms(leader.server.roles, leader.term)
 
 
 async def settle_always(leader: states.Leader) -> None:
-    """Ask earlier leaders until all have surely ended, and keep that."""
+    """Call earlier leaders until all have certainly ended; store that."""
     ends_s: dict[int, float] = {}
     if terms := _unsettled(leader):
         event_log.emit('leader', 'asks-former', terms=terms)
@@ -74,12 +77,13 @@
 
 
 async def _ask(leader: states.Leader, row: roles_.Leader) -> float | None:
-    """Give by when an earlier leader has ended; None if that isn't known.
+    """Return when an earlier leader has ended; None if that is unknown.
 
-    It ends its term as it hears of a later one. Another process at its
-    address began after its own life was over. Only such a word counts: a
-    connection is also refused by a cut that doesn't swallow it, by a listener
-    that isn't there yet, and by whatever stands between.
+    An earlier leader ends its term when it hears of a later one. Another
+    process at its address started after the earlier incarnation had ended.
+    Only such an answer counts: a connection can also be refused by a network
+    cut that rejects packets, by a listener that is not ready yet, or by an
+    intermediary.
     """
     try:
         answer = await transport.call(
@@ -99,9 +103,9 @@
 
 
 def shorten(leader: states.Leader, end_s: float) -> None:
-    """Wait no longer for leases than ended leaders can have given them.
+    """Limit waits to the leases that the ended leaders can have granted.
 
-    :param end_s: by when all of them had ended
+    :param end_s: time by which all of them had ended
     """
     leases_s = end_s + ORDER_S + longest_lease_s(leader)
     for worker in leader.workers.values():
@@ -113,7 +117,7 @@
 
 
 async def _keep(leader: states.Leader) -> None:
-    """Write that all earlier leaders have ended, for the next one."""
+    """Store that all earlier leaders have ended, for the next leader."""
     term = leader.term - 1
     values = {roles_.ENDED_KEY: b'%d' % term}
     if await fenced_writes.try_write(
--- a/oleanderwood/leading/intake.py
+++ b/oleanderwood/leading/intake.py
@@ -1,4 +1,4 @@
-"""What reaches the leader through the store: jobs, cancels, workers, waves."""
+"""Applies jobs, cancels, workers and waves that the leader reads."""
 
 import curio
 import msgspec
@@ -28,10 +28,11 @@
 from oleanderwood import server_metrics
 
 NAMED_CHECK_S = 0.1
-"""Time between two looks at which services the configuration names."""
+"""Interval between two checks of which services are configured, in seconds."""
 
 MOVED = 'listed at another place'
-"""Why a worker is gone whose entry names another address than before."""
+"""Reason logged when a worker is lost because its entry names another
+location."""
 
 JOB_DECODER = msgspec.json.Decoder(model.Job)
 
@@ -39,9 +40,9 @@
 def take_intake(
     leader: states.Leader, item: stores.Item, taking_over: bool
 ) -> None:
-    """Take in a job or a cancel.
+    """Apply a stored job, cancel or policy.
 
-    :param taking_over: it lay in the store as this leader read it
+    :param taking_over: it was in the store when this leader took over
     """
     now_s = clock.now_s()
     if item.removed:
@@ -60,7 +61,7 @@
 
 
 def _take_policy(leader: states.Leader, item: stores.Item) -> None:
-    """Take over what operators have applied; never an older one."""
+    """Apply the policy set by operators, unless a newer one is known."""
     if item.revision <= leader.policy_revision:
         return
     try:
@@ -85,10 +86,10 @@
     taking_over: bool,
     revision: int = 0,
 ) -> None:
-    """Take a job in.
+    """Add a job to the ledger.
 
-    :param revision: of the store as it wrote the job; 0 if the server that
-        wrote it has told of it
+    :param revision: revision of the store at which the job was written; 0 if
+        reported directly by the server that wrote it
     """
     if job.job in leader.ledger.entries or job.job in leader.unreadable:
         return
@@ -119,9 +120,9 @@
 
 
 def _note_superseded(leader: states.Leader, job: model.Job) -> None:
-    """Stop leading: the job was accepted under a later leader.
+    """Stop leading, since the job was accepted under a later leader.
 
-    That one takes it for a job that nobody else has started.
+    That leader assumes that nobody else has started the job.
     """
     if leader.deposed:
         return
@@ -136,7 +137,7 @@
 
 
 async def take_jobs(leader: states.Leader, jobs: list[model.Job]) -> None:
-    """Take in jobs that the server which wrote them tells of."""
+    """Add jobs reported by the server that wrote them."""
     now_s = clock.now_s()
     for job in jobs:
         _take_job(leader, job, now_s, taking_over=False)
@@ -144,7 +145,7 @@
 
 
 def _traits(job: model.Job) -> list[str]:
-    """Name what a job asks for beyond plain tasks, for the log."""
+    """Return the special requirements of a job's steps, for the log."""
     named = {
         'long-running': any(step.lasting for step in job.work.steps),
         'leftover': any(step.uses_leftover for step in job.work.steps),
@@ -161,7 +162,7 @@
 
 
 def cancel(leader: states.Leader, job: ids.JobId) -> None:
-    """Cancel a job that its caller doesn't want any more."""
+    """Cancel a job at its caller's request."""
     entry = leader.ledger.entries.get(job)
     if entry is None:
         leader.cancelled_unknown.add(job)
@@ -173,7 +174,7 @@
 
 
 async def after_intake(leader: states.Leader) -> None:
-    """Do what newly taken jobs and cancels make necessary."""
+    """Wake the tasks that newly added jobs and cancels concern."""
     if leader.deposed:
         await leader.ended.set()
         return
@@ -184,7 +185,7 @@
 
 
 async def take_worker(leader: states.Leader, item: stores.Item) -> None:
-    """Take over a worker's entry in the store, or its removal."""
+    """Apply a worker's entry in the store, or its removal."""
     name = ids.ExecutorId(item.key.removeprefix(executors.PREFIX))
     if item.removed:
         entries_.forget(leader.entries, name)
@@ -204,9 +205,9 @@
     name: ids.ExecutorId,
     but: workers_.Worker | None = None,
 ) -> None:
-    """Note that an executor has no entry, or none that can be used.
+    """Record that an executor has no usable entry.
 
-    :param but: the life whose entry it has
+    :param but: the incarnation that has the entry
     """
     for known in states.lives_of(leader, name):
         if known.listed and known is not but:
@@ -220,9 +221,9 @@
     event: str,
     error: entries_.BadEntry,
 ) -> None:
-    """Count an entry that can't be used; log it unless that was just said.
+    """Count an unusable entry, and log it unless it was just logged.
 
-    A worker that is known by this id goes on as one without an entry.
+    A worker that is known under this id continues as one without an entry.
     """
     server_metrics.ENTRIES_REFUSED.labels(error.fault.value).inc()
     if entries_.note_refusal(leader.entries, name, error.reason):
@@ -244,7 +245,8 @@
     if known is not None and known.provisional:
         _give_place(leader, known, entry)
     if known is not None and not entries_.same_place(entry, known.entry):
-        # If nobody has answered where it was said to be, it is met anew.
+        # If nobody has answered at its known location, it is registered
+        # anew.
         may_run = workers_.may_run(known, clock.now_s())
         if may_run or not await worker_loop.lost(leader, known, MOVED):
             error = entries_.BadEntry(
@@ -282,10 +284,10 @@
 def _give_place(
     leader: states.Leader, worker: workers_.Worker, entry: reports.Entry
 ) -> None:
-    """Let a life that was met by its answer belong where its entry says.
+    """Move a provisional incarnation to the location in its entry.
 
-    It may be of another pool, kind and rack than its executor's life before;
-    only the address is known, as it has answered there.
+    Its pool, kind and rack may differ from those of the executor's earlier
+    incarnation; only the address is known, as the worker has answered there.
     """
     if entry.address != worker.entry.address:
         return
@@ -296,7 +298,7 @@
 
 
 async def _take_new(leader: states.Leader, entry: reports.Entry) -> None:
-    """Meet a worker, unless no configuration names its service so far."""
+    """Register a worker, unless its service is not configured yet."""
     if not _names(leader.server.configuration, entry.service):
         entries_.wait(leader.entries, entry)
         error = entries_.BadEntry(
@@ -305,8 +307,9 @@
         _refuse(leader, lives.executor(entry.worker), 'not-named', error)
         return
     entries_.forget(leader.entries, lives.executor(entry.worker))
-    # It may be an earlier life of a known worker's machine, written
-    # late: entries are no proof of who lives. Calls are.
+    # The entry may belong to an earlier incarnation on a known worker's
+    # machine and be written late. Only an answered call proves that a
+    # worker is alive; an entry does not.
     await meeting.meet(leader, entry, listed=True)
 
 
@@ -317,14 +320,14 @@
 
 
 async def take_named_always(leader: states.Leader) -> None:
-    """Take up entries whose service has been named, until cancelled."""
+    """Apply waiting entries once their service is configured, until cancelled."""
     services: tuple[ids.ServiceId, ...] = ()
     while True:
         configuration = leader.server.configuration
         if configuration is not None and configuration.services != services:
             services = configuration.services
             for entry in list(leader.entries.waiting.values()):
-                # Another may have come while one was taken.
+                # A newer entry may have arrived in the meantime.
                 name = lives.executor(entry.worker)
                 current = leader.entries.waiting.get(name) is entry
                 if current and _names(configuration, entry.service):
@@ -335,7 +338,7 @@
 async def unlist_others(
     leader: states.Leader, items: list[stores.Item]
 ) -> None:
-    """Note which workers a whole reading of the entries lacks."""
+    """Record which workers are missing in a complete read of the entries."""
     listed = {item.key.removeprefix(executors.PREFIX) for item in items}
     entries_.keep_only(leader.entries, listed)
     for name in list(leader.lives):
@@ -346,14 +349,14 @@
 async def leave_draining(
     leader: states.Leader, worker: workers_.Worker
 ) -> None:
-    """Take long-running tasks off a worker that is about to leave."""
+    """Stop long-running tasks on a worker that is about to shut down."""
     for task in list(worker.runs.values()):
         if task.group.step.lasting:
             await worker_loop.stop_run(leader, task)
 
 
 def take_wave(leader: states.Leader, item: stores.Item) -> None:
-    """Take over a wave that the operator asks for."""
+    """Apply a maintenance wave requested by the operator."""
     if item.removed:
         return
     try:
@@ -372,7 +375,7 @@
         try:
             fleet_loop.restore(progress, kept)
         except msgspec.MsgspecError as error:
-            # What has begun is ordered again, which changes nothing.
+            # Machines that have begun are ordered again, without effect.
             event_log.emit('wave', 'kept-malformed', why=str(error))
     event_log.emit(
         'wave',
--- a/oleanderwood/leading/keeping.py
+++ b/oleanderwood/leading/keeping.py
@@ -1,4 +1,4 @@
-"""Writing progress to the store; ends are acknowledged only after it."""
+"""Writes progress to the store; ends are acknowledged only afterwards."""
 
 import hashlib
 
@@ -23,32 +23,34 @@
 from oleanderwood import server_metrics
 
 ROSTER_PREFIX = 'ow/workers/'
-"""The workers of a pool that an earlier leader may have given tasks."""
+"""Prefix of the stored lists, one per pool, of workers that an earlier leader
+may have given tasks."""
 
 DIGEST_MARK = '~'
-"""Begins what stands in a roster's key for a name that is too long for one;
-the workers' rows hold the name itself."""
+"""Marks a digest in the key of a worker list, used where the pool's name is
+too long for a key; the workers' rows contain the name itself."""
 
 GATHER_S = 0.03
-"""Time in which ends are gathered for one write. It delays callers' sight
-of a completed job by as much; each write has a price."""
+"""Time during which ends are collected into one write, in seconds. It delays
+callers' view of a completed job by as much; each write has a cost."""
 
 WRITES_AT_ONCE = 6
-"""Writes that are under way at the same time: one after another, ends wait
+"""Maximum number of concurrent writes; with sequential writes, ends would wait
 for a slow store."""
 
 FAILED_PAUSE_S = 0.15
-"""Pause after a failed write."""
+"""Pause after a failed write, in seconds."""
 
 FORGET_SLACK_S = 30.0
-"""How much longer than callers may ask an ended job is kept."""
+"""How long an ended job is stored after callers may no longer ask for it, in
+seconds."""
 
 
 async def keep_rosters_always(leader: states.Leader) -> None:
-    """Write rosters that have changed, until cancelled.
+    """Write changed worker lists until cancelled.
 
-    Jobs don't wait for them: where machines move all the time and the store is
-    slow, rosters change faster than they are written.
+    Jobs don't wait for them: if machines move all the time and the store is
+    slow, worker lists change faster than they can be written.
     """
     lost = False
     while True:
@@ -72,11 +74,11 @@
 
 
 async def keep_always(leader: states.Leader) -> None:
-    """Write progress that is unwritten, until cancelled.
+    """Write unwritten progress until cancelled.
 
-    Each write is a task of its own: an end that comes while others are under
-    way doesn't wait for them. In a store that answered in 0.35 s, rounds of
-    writes told callers of ends 0.52 s late in the middle.
+    Each write is a task of its own, so an end does not wait for writes that
+    are in flight. With a store that answered in 0.35 s, sequential rounds of
+    writes reported ends to callers 0.52 s late in the median.
     """
     while not leader.deposed:
         await leader.unkept.wait(1.0)
@@ -94,7 +96,7 @@
 
 
 async def keep(leader: states.Leader) -> None:
-    """Wait until all that is unwritten now is written, or the term ends."""
+    """Wait until everything unwritten now is written, or the term ends."""
     changes = leader.ledger.changes
     await leader.unkept.set()
     while not leader.deposed:
@@ -104,7 +106,7 @@
 
 
 async def _write(leader: states.Leader, entries: list[ledgers.Entry]) -> None:
-    """Write jobs that were taken up; a failure is tried again."""
+    """Write a batch of jobs; failed jobs become unwritten again."""
     try:
         await _keep_jobs(leader, entries)
     except stores.Conflict:
@@ -129,7 +131,7 @@
 
 
 def _note_seen_ends(leader: states.Leader) -> None:
-    """Note which ends are told of by the changes so far."""
+    """Record which ends are covered by the changes so far."""
     seen = {
         name: worker.seen_end
         for name, worker in leader.workers.items()
@@ -140,7 +142,7 @@
 
 
 async def _acknowledge(leader: states.Leader) -> None:
-    """Let ends be acknowledged whose changes are all written."""
+    """Allow the acknowledgement of ends whose changes are all written."""
     written = persistence.written_up_to(leader.ledger)
     while leader.seen_ends and leader.seen_ends[0].changes <= written:
         for name, number in leader.seen_ends.popleft().ends.items():
@@ -153,10 +155,10 @@
 async def _keep_jobs(
     leader: states.Leader, entries: list[ledgers.Entry]
 ) -> None:
-    """Write jobs.
+    """Write the progress of jobs.
 
     :raises stores.Conflict: another server leads
-    :raises errors.CallFailed: they may be written or not
+    :raises errors.CallFailed: the progress may or may not be written
     """
     crashes = {entry.job.job: entry.crashes_noted for entry in entries}
     written = {entry.job.job: record.progress_of(entry) for entry in entries}
@@ -179,7 +181,7 @@
         state = written[entry.job.job].state
         if state is not entry.kept_state:
             entry.kept_state = state
-            # What was written, not what has become of the job meanwhile.
+            # The state that was written; the job may have changed since.
             if state in model.FINAL:
                 _log_end(entry)
 
@@ -201,9 +203,9 @@
 async def _keep_rosters(leader: states.Leader) -> None:
     """Write which workers may be given tasks, before any is given one.
 
-    The next leader waits for the workers that it reads there, and for no
-    others. One that was lost and met again has to be written again first: its
-    row may have gone, or tell where it was before.
+    The next leader waits only for the workers that it reads there. A worker
+    that was lost and registered again must be written again first: its row may
+    have been removed, or contain its earlier location.
     """
     while leader.roster_dirty:
         await _keep_some_rosters(leader)
@@ -223,7 +225,7 @@
         writes[roster_key(service)] = msgspec.json.encode(
             [row.entry for row in rows]
         )
-    # What is met or lost during the write is to be written after it.
+    # Workers registered or lost during the write need another write.
     leader.roster_dirty.difference_update(services)
     try:
         await fenced_writes.write(leader, writes)
@@ -236,10 +238,9 @@
 
 
 def roster_key(service: ids.ServiceId) -> str:
-    """Give the key of a pool's roster; names of any length have one.
+    """Return the key of a pool's worker list, for pool names of any length.
 
-    A key that the store refuses would hold up all progress, which is
-    written after the rosters.
+    A key that the store refuses would block the writes of worker lists.
     """
     key = ROSTER_PREFIX + service
     short = len(key.encode()) <= stores.MAX_KEY_BYTES
@@ -250,12 +251,12 @@
 
 
 def decode_roster(value: bytes) -> list[reports.Entry]:
-    """Decode the workers of one pool's roster."""
+    """Decode the workers of one pool's stored list."""
     return msgspec.json.decode(value, type=list[reports.Entry])
 
 
 async def forget_always(leader: states.Leader) -> None:
-    """Remove ended jobs that callers may not ask for any more."""
+    """Remove ended jobs that callers may no longer ask for."""
     kept_s = leader.server.settings.job_retention_s + FORGET_SLACK_S
     while True:
         await curio.sleep(5.0)
--- a/oleanderwood/leading/leadership_transfer.py
+++ b/oleanderwood/leading/leadership_transfer.py
@@ -1,42 +1,43 @@
-"""When a leader should let another server lead. Pure.
+"""Decides when a leader should let another server lead. Pure.
 
-Load it answers: one leader starts all tasks, and servers differ in size by
-four times; a small one, or one that is slowed down for a while, can't keep
-up with a peak that others could.
+The reason is load: one leader starts all tasks, and servers differ in size by
+a factor of four. A small server, or one that is temporarily slowed down,
+cannot handle a peak that others could.
 """
 
 import dataclasses
 
 STRONGER_FACTOR = 1.5
-"""How much larger another server must be to be worth a hand-over, which
-costs about 0.2 s without new starts."""
+"""How many times larger another server must be to justify a handover, which
+stops new starts for about 0.2 s."""
 
 YOUNG_S = 1.0
-"""Time that a term lasts at least: servers that start together have entered
-themselves by then."""
+"""Minimum duration of a term, in seconds; servers started together have
+written their rows by then."""
 
 LATE_S = 0.15
-"""Mean lateness of the leader's own timers from which on it is overloaded;
-a busy leader with room to spare is late by 10 to 30 ms."""
+"""Mean lateness of the leader's timers, in seconds, from which it counts as
+overloaded; a busy leader with spare capacity is late by 10 to 30 ms."""
 
 LATE_WEIGHT = 0.1
-"""Weight of one measurement in the mean; they come each 50 ms, so the mean
-covers the last half second or so."""
+"""Weight of one measurement in the moving mean; with one every 50 ms, the mean
+covers about the last half second."""
 
 OVERLOADED_S = 1.0
-"""Time for which a leader must be overloaded before it yields; a takeover
-itself, which reads all jobs, takes less."""
+"""How long a leader must be overloaded before it yields, in seconds; a
+takeover, which reads all jobs, takes less."""
 
 EQUAL_FACTOR = 0.9
-"""An overloaded leader yields to servers down to this part of its size."""
+"""Minimum size, as a fraction of its own, of a server that an overloaded
+leader yields to."""
 
 
 @dataclasses.dataclass
 class Pulse:
     """How late the leader's timers are.
 
-    :ivar late_s: mean of the last measurements
-    :ivar since_s: since when the mean is too high; None if it isn't
+    :ivar late_s: moving mean of the lateness, in seconds
+    :ivar since_s: time since which the mean is too high; None if it is not
     """
 
     late_s: float = 0.0
@@ -44,7 +45,7 @@
 
 
 def measure(pulse: Pulse, late_s: float, now_s: float) -> None:
-    """Note how late one timer was."""
+    """Add one timer's lateness to the mean."""
     pulse.late_s += LATE_WEIGHT * (max(0.0, late_s) - pulse.late_s)
     if pulse.late_s < LATE_S:
         pulse.since_s = None
@@ -59,10 +60,10 @@
     led_s: float,
     now_s: float,
 ) -> str:
-    """Say why the leader should yield; '' if it should go on.
+    """Return why the leader should yield; '' if it should go on.
 
     :param others_cores: sizes of the servers that could lead
-    :param led_s: how long the term lasts by now
+    :param led_s: how long the term has lasted
     """
     if led_s < YOUNG_S or not others_cores:
         return ''
--- a/oleanderwood/leading/lease.py
+++ b/oleanderwood/leading/lease.py
@@ -1,4 +1,4 @@
-"""The server's lease in the store, and its own row under it."""
+"""The server's lease in the store, and its own row attached to it."""
 
 import dataclasses
 
@@ -16,38 +16,39 @@
 from oleanderwood import verdict as verdicts
 
 RENEW_S = states.LEASE_S / 3
-"""Time between two renewals: two may be lost before the lease ends."""
+"""Interval between two renewals, in seconds; two may be lost before the lease
+expires."""
 
 RETRY_S = 0.1
-"""Pause after a failed renewal."""
+"""Pause after a failed renewal, in seconds."""
 
 AGAIN_S = 0.15
-"""Time without an answer after which the lease is renewed by another call: one
-lost answer must not use up the time that is left."""
+"""Time without an answer, in seconds, after which another renewal is sent
+concurrently: one lost answer must not use up the remaining time."""
 
 GRANT_S = 0.4
-"""Longest wait for a new lease. Where answers are lost after leases ran out,
-the servers that get one first lead, whatever their size; a lease that nobody
-knows of ends by itself."""
+"""Timeout of a request for a new lease, in seconds. If answers are lost after
+leases have expired, the servers that obtain a lease first lead, whatever their
+size. A lease whose grant was not answered expires by itself."""
 
 LEAST_LEFT_S = 0.6
-"""Least time for a renewal, also of a lease that seems to have ended: four
-calls."""
+"""Minimum timeout of a renewal, in seconds, even if the lease seems to have
+expired; it allows four calls."""
 
 MARGIN_S = 0.1
-"""How much earlier than the store we take the lease for ended; clocks of
-two machines differ in rate by far less over a lease."""
+"""How much earlier than the store this server considers the lease expired, in
+seconds; clock rates of two machines differ by far less over a lease."""
 
 GAP_S = 1.5
-"""Time without an answer after which the store counts as back; renewals and
-watches answer each second."""
+"""Time without an answer, in seconds, after which the next answer means that
+the store is back; renewals and watches are answered every second."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Granted:
-    """A lease that the store has given.
+    """A lease granted by the store.
 
-    :ivar until_s: by when it may have ended
+    :ivar until_s: time by which it may have expired
     """
 
     lease: int
@@ -55,7 +56,7 @@
 
 
 async def keep_always(server: states.Server) -> None:
-    """Hold a lease and the server's row, until cancelled."""
+    """Hold a lease and the server's row until cancelled."""
     granted: Granted | None = None
     while True:
         try:
@@ -81,7 +82,7 @@
 
 
 def lease_s(server: states.Server) -> float:
-    """Give the time of a lease, as the store allows it."""
+    """Return the duration of a lease, in seconds, as the store allows it."""
     least_s = server.settings.store_lease_min_ms / 1000
     return max(states.LEASE_S, least_s)
 
@@ -94,10 +95,10 @@
 
 
 async def _hold(server: states.Server, granted: Granted) -> None:
-    """Write the row under a lease, and hold the lease.
+    """Write the server's row under a granted lease, then use the lease.
 
-    Without its row a server could be elected and be asked by nobody, so it
-    has no lease before the row is there. A row that is refused is written
+    Without a row, a server could be elected while no other server can call it,
+    so the lease counts only once the row is written. A refused row is written
     again under the same lease.
     """
     await _write_row(server, granted.lease)
@@ -108,10 +109,10 @@
 
 
 def _has_row(server: states.Server) -> bool:
-    """Say whether the store has the server's row, as far as it has told us.
+    """Return whether the store is known to have the server's row.
 
-    A write of it without an answer may be carried out late, under a lease
-    that has ended or ends unused, and the row goes with that.
+    An unanswered write may be carried out late, under a lease that has expired
+    or that expires unused; the row is removed with that lease.
     """
     if not server.roles.known:
         return True
@@ -143,11 +144,11 @@
 
 
 async def _renew(server: states.Server) -> None:
-    """Renew the lease, by another call each time that none is answered.
+    """Renew the lease, sending another call whenever one is not answered.
 
-    :raises stores.LeaseEnded: it doesn't exist any more
+    :raises stores.LeaseEnded: the lease does not exist any more
     :raises errors.CallFailed: the store refused, or answered no call in the
-        time that is left
+        remaining time
     """
     left_s = max(LEAST_LEFT_S, server.lease_until_s - clock.now_s())
     timeout_s = min(stores.CALL_TIMEOUT_S, left_s)
@@ -164,9 +165,9 @@
 async def _until_answered(
     server: states.Server, timeout_s: float, calls: list[curio.Task]
 ) -> float:
-    """Give when the call was sent that is answered first.
+    """Return the send time of the call that is answered first.
 
-    :param calls: gets the tasks that make the calls
+    :param calls: receives the tasks that make the calls
     """
     answers: curio.Queue = curio.Queue()
     until_s = clock.now_s() + timeout_s
@@ -187,7 +188,7 @@
 async def _call(
     server: states.Server, timeout_s: float, answers: curio.Queue
 ) -> None:
-    """Make one call; puts when it was sent, or its error."""
+    """Make one call and put its send time, or its error, into a queue."""
     sent_s = clock.now_s()
     try:
         await stores.renew(server.store, server.lease, timeout_s)
@@ -198,7 +199,7 @@
 
 
 async def note_contact(server: states.Server, sent_s: float) -> None:
-    """Note that the store answered a call sent at some time."""
+    """Record that the store answered a call sent at a given time."""
     is_back = sent_s - server.contact_s > GAP_S
     server.contact_s = max(server.contact_s, sent_s)
     if is_back:
@@ -208,7 +209,7 @@
 
 
 def contact(server: states.Server) -> watcher.Contact:
-    """Give what followers of the store tell a server, and hear from it."""
+    """Return the contact that followers of the store share with a server."""
 
     async def note(sent_s: float) -> None:
         await note_contact(server, sent_s)
--- a/oleanderwood/leading/meeting.py
+++ b/oleanderwood/leading/meeting.py
@@ -1,4 +1,4 @@
-"""Meeting workers: what a leader needs to ask and to order one."""
+"""Registers workers, so that a leader can call them and send them orders."""
 
 import curio
 
@@ -16,9 +16,9 @@
     listed: bool,
     provisional: bool = False,
 ) -> workers_.Worker:
-    """Begin to renew a worker that wasn't known.
+    """Register a worker and start the renewal of its lease.
 
-    :param provisional: its own entry wasn't read yet
+    :param provisional: the worker's own entry has not been read yet
     """
     now_s = clock.now_s()
     worker = workers_.Worker(
@@ -30,7 +30,8 @@
     )
     name = entry.worker
     leader.workers[name] = worker
-    # Orders that a life before left unanswered are refused by this one.
+    # This incarnation then refuses orders that an earlier one left
+    # unanswered.
     states.raise_fence(leader, worker)
     known = leader.lives.setdefault(lives.executor(name), {})
     known[name] = None
--- a/oleanderwood/leading/parallel.py
+++ b/oleanderwood/leading/parallel.py
@@ -1,4 +1,4 @@
-"""Calls that are made side by side."""
+"""Runs calls concurrently."""
 
 import collections.abc
 import dataclasses
@@ -13,21 +13,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Failure:
-    """Why a call failed.
+    """The exception of a failed call.
 
-    A task that raised it would fill the log, and end the others of its group,
-    whose cancelling would be told in its place.
+    A task that raised it would log a traceback and cancel the other tasks of
+    its group; their cancellation would be reported in its place.
     """
 
     error: Exception
 
 
 async def run(calls: collections.abc.Iterable[Call]) -> list[typing.Any]:
-    """Make calls at the same time; gives their results in order.
+    """Make calls concurrently and return their results in order.
 
-    One that fails doesn't end the others.
+    A call that fails does not end the others.
 
-    :raises Exception: of the first that failed, once all are over
+    :raises Exception: that of the first failed call, once all have ended
     """
     async with curio.TaskGroup() as group:
         tasks = [await group.spawn(_try, call) for call in calls]
--- a/oleanderwood/leading/roles.py
+++ b/oleanderwood/leading/roles.py
@@ -1,4 +1,4 @@
-"""Who leads and which servers there are, as it lies in the store."""
+"""The current leader and the known servers, as recorded in the store."""
 
 import collections.abc
 import dataclasses
@@ -10,28 +10,30 @@
 
 PREFIX = 'ow/roles/'
 LEADER_KEY = 'ow/roles/leader'
-"""Outlives its holder: the term must never be given twice."""
+"""Key of the latest leader; it is kept after its holder is gone, so that no
+term is used twice."""
 
 ALIVE_KEY = 'ow/roles/alive'
-"""Lies under the leader's lease; without it another may lead."""
+"""The leader's liveness key, attached to its lease; another server may lead
+once it is gone."""
 
 ENDED_KEY = 'ow/roles/ended'
-"""Holds a term: its leader and all earlier ones have surely ended."""
+"""Key of a term whose leader and all earlier leaders have certainly ended."""
 
 SERVER_PREFIX = 'ow/roles/server/'
 
 REMEMBERED_S = 10.0
-"""Time for which a server counts whose row went: it may reach the store again,
-and lead, while we don't."""
+"""Time for which a server whose row was removed still counts, in seconds: it
+may reach the store again, and lead, while this server can't."""
 
 
 class Leader(msgspec.Struct, frozen=True):
-    """Who leads under a term, or led last.
+    """The leader of a term, current or last.
 
-    :ivar holder: name of the server; '' once it has handed over
-    :ivar process: one life of that server
-    :ivar follows: the term before, 0 before the first; None from servers of an
-        earlier release, whose terms rise by one
+    :ivar holder: name of the server; empty once it has handed over
+    :ivar process: id of the incarnation of that server
+    :ivar follows: the previous term, 0 for the first; None from servers of an
+        earlier release, whose terms increase by one
     """
 
     term: int
@@ -42,9 +44,9 @@
 
 
 class Server(msgspec.Struct, frozen=True):
-    """A server that can be asked and can lead.
+    """A server that can be called and elected.
 
-    :ivar cores: processor time that it gets
+    :ivar cores: CPU cores available to it
     """
 
     name: str
@@ -56,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Gone:
-    """A server whose row went, and when."""
+    """A server whose row was removed, and when."""
 
     server: Server
     at_s: float
@@ -64,15 +66,16 @@
 
 @dataclasses.dataclass
 class Roles:
-    """What a server knows of all this.
+    """What a server knows of the leader and the other servers.
 
-    :ivar leader_revision: of the leader's key; it is the condition under
+    :ivar leader_revision: revision of the leader key; the condition under
         which a leader writes
-    :ivar leaders: of terms that aren't known to have ended, as far as seen
-    :ivar ended_term: leaders up to this term have surely ended
-    :ivar alive_revision: 0 if nobody holds the lease
-    :ivar alive_lease: the lease under which the mark lies
-    :ivar gone: servers whose rows went, by key
+    :ivar leaders: known leaders of terms that are not known to have ended
+    :ivar ended_term: all leaders up to this term have certainly ended
+    :ivar alive_revision: revision of the liveness key; 0 if there is none
+    :ivar alive_lease: the lease that the liveness key is attached to
+    :ivar gone: recently removed servers, by key
+    :ivar known: whether the roles have been read from the store
     """
 
     leader: Leader | None = None
@@ -90,7 +93,7 @@
 def take(
     roles: Roles, key: str, value: bytes, revision: int, lease: int = 0
 ) -> None:
-    """Take over a value; an older one than the known is ignored."""
+    """Apply a value read from the store, unless a newer one is known."""
     if key == LEADER_KEY:
         if revision > roles.leader_revision:
             note_leader(
@@ -108,17 +111,17 @@
 
 
 def note_leader(roles: Roles, leader: Leader, revision: int) -> None:
-    """Note who leads by a revision of the leader's key."""
+    """Record the leader at a revision of the leader key."""
     roles.leader = leader
     roles.leader_revision = revision
     roles.leaders[leader.term] = leader
 
 
 def unsettled_terms(roles: Roles, term: int) -> list[int]:
-    """Give the terms before one that aren't known to have ended.
+    """Return the earlier terms that are not known to have ended.
 
-    The latest comes first. One whose leader isn't known is the last: what it
-    follows isn't known either.
+    The latest comes first. The list ends at a term whose leader is unknown,
+    since the term before it is unknown as well.
     """
     terms: list[int] = []
     while True:
@@ -138,7 +141,7 @@
 
 
 def note_ended(roles: Roles, term: int) -> None:
-    """Note that all leaders up to a term have surely ended."""
+    """Record that all leaders up to a term have certainly ended."""
     roles.ended_term = max(roles.ended_term, term)
     for earlier in list(roles.leaders):
         if earlier <= roles.ended_term:
@@ -146,21 +149,21 @@
 
 
 def learn(roles: Roles, items: collections.abc.Iterable[stores.Item]) -> None:
-    """Take over what a refused write has shown of its conditions."""
+    """Apply the items that a refused write returned."""
     for item in items:
         if not item.removed:
             take(roles, item.key, item.value, item.revision, item.lease)
 
 
 def mark(roles: Roles, process: str, revision: int, lease: int) -> None:
-    """Note who leads by the mark, and under which lease it lies."""
+    """Record the holder of the liveness key, and the key's lease."""
     roles.alive_process = process
     roles.alive_revision = revision
     roles.alive_lease = lease
 
 
 def drop(roles: Roles, key: str, revision: int, now_s: float) -> None:
-    """Note that a key was removed at a revision of the store."""
+    """Apply the removal of a key at a revision of the store."""
     if key == ALIVE_KEY and revision > roles.alive_revision:
         mark(roles, '', 0, 0)
     elif key.startswith(SERVER_PREFIX):
@@ -178,17 +181,17 @@
 
 
 def clear(roles: Roles, now_s: float) -> None:
-    """Forget what a whole reading of the store is about to tell anew."""
+    """Forget what a complete read of the store is about to replace."""
     mark(roles, '', 0, 0)
     for key in list(roles.servers):
         _note_gone(roles, key, now_s)
 
 
 def place_in_line(roles: Roles, name: str) -> int:
-    """Give a server's place among those that may lead next.
+    """Return a server's rank among the candidates for the next term.
 
-    The one that led last comes last: it may have lost its lease for cause.
-    Larger servers come before smaller ones.
+    Larger servers come first. The last leader comes last: it may have lost its
+    lease because of a fault of its own.
     """
     last = roles.leader.holder if roles.leader else ''
     cores = {server.name: server.cores for server in roles.servers.values()}
@@ -200,7 +203,7 @@
 
 
 def peers(roles: Roles, process: str) -> list[Server]:
-    """Give the other servers."""
+    """Return the other servers."""
     return [
         server
         for server in roles.servers.values()
@@ -209,7 +212,7 @@
 
 
 def peers_lately(roles: Roles, process: str, now_s: float) -> list[Server]:
-    """Give the other servers, those too whose rows went a short while ago."""
+    """Return the other servers, including recently removed ones."""
     lately = [
         row.server
         for row in roles.gone.values()
--- a/oleanderwood/leading/state.py
+++ b/oleanderwood/leading/state.py
@@ -1,4 +1,4 @@
-"""What a server process and a leader remember."""
+"""In-memory state of a server process and of a leader."""
 
 import collections
 import collections.abc
@@ -35,17 +35,18 @@
 from oleanderwood.web import connections
 
 LEASE_S = 1.5
-"""Time of a server's lease: a dead leader is followed after it. Shorter, a
-slow store couldn't be told from one that is gone."""
+"""Duration of a server's lease in the store, in seconds; another server can
+take over from a dead leader once it has expired. With a shorter lease, a slow
+store could not be told from an unreachable one."""
 
 TASK_LEASE_S = 5.0
-"""Time of a worker's lease on its tasks. It has to outlive a change of
-leader (lease, election, first renewals: about 2.5 s) and delays the restart
-of what ran on a worker that fell silent."""
+"""Duration of a worker's lease on its tasks, in seconds. It must outlive a
+change of leader (lease expiry, election and first renewals take about 2.5 s),
+and it delays the restart of tasks whose worker stopped answering."""
 
 
 class Wake:
-    """A signal to one waiting task; signals before it waits aren't lost."""
+    """A signal to one waiting task; it is not lost if set before the wait."""
 
     def __init__(self) -> None:
         self._event = curio.Event()
@@ -57,7 +58,7 @@
         await self._event.set()
 
     async def wait(self, longest_s: float) -> None:
-        """Wait for a signal, or for a while."""
+        """Wait for the signal, or until the time is over."""
         async with curio.ignore_after(longest_s):
             await self._event.wait()
         self._event.clear()
@@ -69,7 +70,7 @@
 
 
 class Due(Wake):
-    """A signal that tasks may be startable, and in which pools."""
+    """A signal that tasks may be startable, with the pools concerned."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -77,7 +78,7 @@
         self._all = False
 
     async def set(self, pool: ids.ServiceId | None = None) -> None:
-        """Wake the waiting task for a pool; None: for all of them."""
+        """Wake the waiting task for one pool, or for all pools if None."""
         if pool is None:
             self._all = True
         else:
@@ -85,7 +86,7 @@
         await super().set()
 
     def take(self) -> collections.abc.Set[ids.ServiceId] | None:
-        """Give the pools of the signals so far; None for all pools."""
+        """Return and clear the signalled pools; None means all pools."""
         pools = None if self._all else self._pools
         self._pools = _no_pools()
         self._all = False
@@ -94,7 +95,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StartOrder:
-    """A start that is to be sent to a worker."""
+    """A start order to be sent to a worker."""
 
     task: ledgers.Task
     run: ledgers.Run
@@ -102,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StopOrder:
-    """A stop that is to be sent to a worker."""
+    """A stop order to be sent to a worker."""
 
     task: ids.TaskId
     attempt: int
@@ -110,36 +111,39 @@
 
 @dataclasses.dataclass(frozen=True)
 class PaceOrder:
-    """A pace that is to be sent to a worker."""
+    """A change of a task's pace to be sent to a worker."""
 
     task: ledgers.Task
     percent: int
 
 
 def _now_s() -> float:
-    """Read the clock that is in place by now, an emulated one as well."""
+    """Return the time of the current clock, which tests may replace later."""
     return clock.now_s()
 
 
 @dataclasses.dataclass
 class Server:
-    """One server process.
-
-    :ivar process: one life of this server
-    :ivar configuration_proven_s: when the last reading of the configuration
-        was sent that told all changes of it
-    :ivar configuration_readable: the newest one could be read
-    :ivar limits: of tenants, also of those that have gone
-    :ivar lease_until_s: by when the server's lease may have ended
-    :ivar contact_s: when the last call was sent that the store answered
-    :ivar back_s: since when the store answers again, after a gap
-    :ivar store_back: wakes, at that moment, those that wait for the store
-    :ivar began_s: when the process began
-    :ivar led_term: the last term that this process has led, or leads
-    :ivar unanswered: executors that it asks for the sake of late orders
-    :ivar unanswered_news: wakes who asks them; ``unanswered_untold`` wakes who
-        tells other servers of them
-    :ivar asked_by_term: the last term whose leader has asked whether it leads
+    """State of one server process.
+
+    :ivar process: id of this incarnation of the server
+    :ivar configuration_proven_s: send time of the last read of the
+        configuration that is known to include all its changes
+    :ivar configuration_readable: whether the newest configuration could be
+        decoded
+    :ivar limits: limits by tenant, including tenants that were removed
+    :ivar lease_until_s: time by which the server's lease may have expired
+    :ivar contact_s: send time of the latest call that the store answered
+    :ivar back_s: time at which the store answered again after an outage
+    :ivar store_back: set at that time, for tasks that wait for the store
+    :ivar began_s: start time of the process
+    :ivar led_term: the last term that this process led or is leading
+    :ivar unanswered: executors to be called because an order to them may still
+        arrive late
+    :ivar unanswered_news: wakes the task that calls these executors
+    :ivar unanswered_untold: wakes the task that reports them to other servers
+    :ivar asked_by_term: highest term whose leader asked this server whether it
+        leads
     """
 
     settings: boot.Settings
@@ -175,25 +179,29 @@
 
 @dataclasses.dataclass
 class Fleet:
-    """What a leader remembers of machines, their moves and their waves.
-
-    :ivar machines: by name, as last listed
-    :ivar machines_read_s: when that list was asked for
-    :ivar machines_asked_s: when a list was asked for last, read or not
-    :ivar missing: workers that the last list lacked
-    :ivar waves: by number
-    :ivar kept_waves: what an earlier leader wrote of them
-    :ivar first_sizes: machines that each pool had before its first turn
-    :ivar needs: machines that each pool needs now
-    :ivar shortage_told_s: when a lack of machines was last logged
-    :ivar crowded: pools in which a long-running task has nowhere to go
-    :ivar moves_refused: until when a machine isn't asked to move again
-    :ivar announced: when an order was announced, by machine
-    :ivar maintained: which of them may be down for maintenance by it
-    :ivar turn_after_s: from when a machine may be ordered that an earlier
-        leader has ordered
-    :ivar none_before_s: the same for all others
-    :ivar orders_left: orders that may be sent, as of ``orders_at_s``
+    """What a leader knows of machines, their moves and maintenance waves.
+
+    :ivar machines: machines by name, as last listed
+    :ivar machines_read_s: send time of the request that returned this list
+    :ivar machines_asked_s: send time of the latest request for a list,
+        successful or not
+    :ivar missing: workers that the last list did not contain
+    :ivar waves: maintenance waves by number
+    :ivar kept_waves: encoded progress of waves, as stored by earlier leaders
+    :ivar first_sizes: number of machines of each pool before its first move
+    :ivar needs: number of machines that each pool needs now
+    :ivar shortage_told_s: time at which a shortage of machines was last logged
+    :ivar crowded: pools in which no worker can take a long-running task that
+        has to move
+    :ivar moves_refused: time until which a machine is not asked to move again
+    :ivar announced: time at which an order was announced, by machine
+    :ivar maintained: announced machines that the order may take down for
+        maintenance
+    :ivar turn_after_s: time from which a machine that an earlier leader sent
+        an order may be sent one by this leader
+    :ivar none_before_s: the same for all other machines
+    :ivar orders_left: number of orders that may still be sent, as of
+        ``orders_at_s``
     """
 
     machines: dict[str, fleet_.Machine] = dataclasses.field(
@@ -226,7 +234,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SeenEnds:
-    """Ends of runs that may be acknowledged once changes are written.
+    """Ends of runs to be acknowledged once certain changes are stored.
 
     :ivar changes: number of the last of these changes
     :ivar ends: number of the last end, by worker
@@ -238,34 +246,41 @@
 
 @dataclasses.dataclass
 class Leader:
-    """The leader of one term.
-
-    :ivar revision: of the leader's key, the condition of all its writes
-    :ivar fences: of its orders to workers
-    :ivar fences_used_up: an executor was given nearly all that the term has
-    :ivar deposed: why it must stop; '' while it leads
-    :ivar rosters_unread_until_s: by when the leases have ended of workers that
-        a roster names which can't be read
-    :ivar unreadable: jobs whose progress in the store can't be read
-    :ivar renewed_s: when the call was sent that last renewed the lease under
-        which its mark lies
-    :ivar writes_under_way: writes of progress that aren't answered yet
-    :ivar write_failed: the last such write failed, and that was logged
-    :ivar seen_ends: ends that wait for writes, the first first
-    :ivar entries_heard_s: when the call was sent that last told of all changes
-        of workers' entries
-    :ivar workers: each is one life of an executor
-    :ivar lives: those of an executor that aren't known to be over, the one
-        that was met last comes last
-    :ivar ended_lives: lives found to be over, of which nobody was told yet
-    :ivar lately_gone: when workers went that are known to be gone
-    :ivar arrivals_s: of jobs within what their tenants may count on, lately
-    :ivar limits_told_s: when a tenant's limit was last logged, by tenant
-    :ivar held_back: steps with runs that would end sooner on another machine
-        than their pool has, and until when that counts
-    :ivar relocated_s: when runs last left a worker for another, by pool
-    :ivar confirmed_until_s: by when servers that don't reach the store
-        either have to confirm again that none leads
+    """State of the leader of one term.
+
+    :ivar revision: revision of the leader key; condition of all its writes
+    :ivar fences: fences of its orders to workers
+    :ivar fences_used_up: whether an executor has received nearly all fences of
+        this term
+    :ivar deposed: reason why the leader must stop; empty while it leads
+    :ivar rosters_unread_until_s: time by which the leases have expired of the
+        workers whose stored worker list could not be decoded
+    :ivar unreadable: jobs whose stored progress could not be decoded
+    :ivar renewed_s: send time of the latest renewal of the lease that the
+        leader's liveness key is attached to
+    :ivar writes_under_way: number of progress writes without an answer yet
+    :ivar write_failed: whether the last progress write failed, which was
+        logged
+    :ivar seen_ends: ends that wait for writes, oldest first
+    :ivar entries_heard_s: send time of the latest call that confirmed that all
+        changes of the workers' entries are known
+    :ivar workers: workers by id; each is one incarnation of an executor
+    :ivar lives: incarnations of each executor that are not known to have
+        ended, in the order of first contact
+    :ivar ended_lives: incarnations found to have ended that have not been
+        reported yet
+    :ivar lately_gone: time at which each recently lost worker was found to be
+        gone
+    :ivar arrivals_s: recent arrival times, by tenant, of jobs within the
+        tenant's share
+    :ivar limits_told_s: time at which a tenant's limit was last logged
+    :ivar held_back: steps whose runs are starved of CPU and would finish
+        sooner on another machine than their pool has, with the time until
+        which this counts
+    :ivar relocated_s: time at which runs were last moved between workers, by
+        pool
+    :ivar confirmed_until_s: time by which servers that cannot reach the store
+        either must confirm again that no other server leads
     """
 
     server: Server
@@ -352,7 +367,7 @@
 def lives_of(
     leader: Leader, executor: ids.ExecutorId
 ) -> list[workers_.Worker]:
-    """Give the lives of an executor that aren't known to be over."""
+    """Return the incarnations of an executor not known to have ended."""
     return [
         leader.workers[name]
         for name in leader.lives.get(executor, ())
@@ -363,7 +378,10 @@
 def worker_of(
     leader: Leader, executor: ids.ExecutorId
 ) -> workers_.Worker | None:
-    """Give the life of an executor that answered last, else the last met."""
+    """Return the incarnation of an executor that answered last.
+
+    If none has answered, return the one contacted last; None if there is none.
+    """
     known = lives_of(leader, executor)
     return max(
         known, key=lambda row: (row.clock_at_s, row.met_s), default=None
@@ -371,19 +389,19 @@
 
 
 def fence_of(leader: Leader, worker: workers_.Worker) -> ids.Fence:
-    """Give the fence of the next order to a worker."""
+    """Return the fence of the next order to a worker."""
     executor = lives.executor(worker.entry.worker)
     return fences_.current(leader.fences, executor)
 
 
 def fence_number(leader: Leader, worker: workers_.Worker) -> int:
-    """Give the number of that fence within its term, for the log."""
+    """Return that fence's number within its term, for the log."""
     executor = lives.executor(worker.entry.worker)
     return fences_.number(leader.fences, executor)
 
 
 def raise_fence(leader: Leader, worker: workers_.Worker) -> None:
-    """Let a worker's next order have a higher fence than all before."""
+    """Raise the fence of a worker's next order above all earlier ones."""
     executor = lives.executor(worker.entry.worker)
     fences_.raise_fence(leader.fences, executor)
     if fences_.are_used_up(leader.fences, executor):
@@ -393,13 +411,13 @@
 def is_overtaken(
     leader: Leader, worker: workers_.Worker, fence: ids.Fence
 ) -> bool:
-    """Say whether a later call of ours to a worker had a higher fence."""
+    """Return whether a later call to the worker had a higher fence."""
     executor = lives.executor(worker.entry.worker)
     return fences_.is_overtaken(leader.fences, executor, fence)
 
 
 def may_act(leader: Leader) -> bool:
-    """Say whether this process may still take itself for the leader."""
+    """Return whether this process may still act as the leader."""
     now_s = clock.now_s()
     return not leader.deposed and (
         now_s < marked_until_s(leader) or now_s < leader.confirmed_until_s
@@ -407,18 +425,19 @@
 
 
 def holds_lease(leader: Leader) -> bool:
-    """Say whether the leader's lease is surely in force.
+    """Return whether the leader's lease is certainly still valid.
 
-    Orders to machines need it: no other check guards them.
+    Orders to machines require it, as nothing else protects machines from
+    orders of a previous leader.
     """
     return not leader.deposed and clock.now_s() < marked_until_s(leader)
 
 
 def marked_until_s(leader: Leader) -> float:
-    """Give by when the lease may end under which the mark of the leader lies.
+    """Return when the lease of the leader's liveness key may expire.
 
-    A lease that the server has taken since says nothing of who leads: another
-    may have been elected while it had none.
+    A lease that the server obtained later says nothing about who leads:
+    another server may have been elected while it had none.
     """
     server = leader.server
     roles = server.roles
@@ -429,19 +448,19 @@
 
 
 async def depose(leader: Leader, why: str) -> None:
-    """End the leader's term as far as this process is concerned."""
+    """End the leader's term in this process."""
     if not leader.deposed:
         leader.deposed = why
         await leader.ended.set()
 
 
 def task_lease_s(settings: boot.Settings) -> float:
-    """Give the time of the leases that workers get."""
+    """Return the duration of the leases given to workers, in seconds."""
     return min(TASK_LEASE_S, settings.max_task_lease_ms / 1000)
 
 
 def known_tenants(leader: Leader) -> dict[ids.TenantId, tenants_.Tenant]:
-    """Give the tenants of the newest configuration, by name."""
+    """Return the tenants of the newest configuration, by name."""
     configuration = leader.server.configuration
     if configuration is None or configuration.tenants is None:
         return {}
@@ -449,19 +468,19 @@
 
 
 def weights(leader: Leader) -> dict[ids.TenantId, float]:
-    """Give the weights of the tenants in the newest configuration."""
+    """Return the weight of each tenant in the newest configuration."""
     rows = known_tenants(leader).values()
     return {tenant.name: tenant.weight for tenant in rows}
 
 
 def known_queues(leader: Leader) -> dict[str, queues.Queue]:
-    """Give the queues of the newest configuration."""
+    """Return the queues of the newest configuration, by name."""
     configuration = leader.server.configuration
     return queues.by_name(configuration) if configuration else {}
 
 
 def dump(server: Server) -> dict[str, typing.Any]:
-    """Give the process's state as plain data."""
+    """Return the state of the process as plain data."""
     now_s = clock.now_s()
     roles = server.roles
     value: dict[str, typing.Any] = {
--- a/oleanderwood/leading/term.py
+++ b/oleanderwood/leading/term.py
@@ -1,4 +1,4 @@
-"""The life of one term: taking over, leading, handing over."""
+"""One leader's term: taking over, leading and handing over."""
 
 import collections.abc
 import dataclasses
@@ -46,27 +46,29 @@
 from oleanderwood import server_metrics
 
 WATCH_S = 1.0
-"""Longest wait of a watch; a silent connection is found after it and the
-client's own slack, in time for a change of the configuration."""
+"""Maximum duration of a watch, in seconds. A dead connection is detected after
+this time plus the client's own allowance, early enough for a change of the
+configuration."""
 
 ROLE_CHECK_S = 0.05
-"""Time between two looks at who leads."""
+"""Interval between two checks of who leads, in seconds."""
 
 RESIGN_S = 0.4
 RESIGN_TRIES = 6
-"""Longest wait for an answer as a leader removes its mark, and times that it
-tries: a server that stops keeps its lease while callers are there."""
+"""Timeout, in seconds, and number of attempts of the write by which a leader
+gives up its role. A stopping server keeps its lease while it still has
+callers, so a lost write would block the next election."""
 
 READ_HEAD_S = 0.4
-"""Longest time until an answer to a reading of the takeover begins; a slow
-store takes 0.24 s."""
+"""Maximum time until the answer to a read during takeover begins, in seconds;
+a slow store takes 0.24 s."""
 
 READ_TRIES = 6
-"""Times that each of the five readings of a takeover is tried, of which one
-unanswered would end it."""
+"""Number of attempts for each of the five reads of a takeover: a single
+unanswered read would otherwise abort it."""
 
 HAND_OVER_S = 0.6
-"""Longest time for the last writes of a leader that stops."""
+"""Timeout of the last writes of a leader that stops, in seconds."""
 
 
 async def lead(server: states.Server, term: int, revision: int) -> None:
@@ -90,7 +92,8 @@
         await _resign(leader)
         return
     if server.asked_by_term > term:
-        # That leader was told that we don't lead, and waits for nothing.
+        # That leader was told that this server does not lead, so it does
+        # not wait for leases that this term would grant.
         event_log.emit('leader', 'gave-up', term=term, why='a later one asked')
         await _resign(leader)
         return
@@ -126,9 +129,9 @@
 
 
 def _parts(leader: states.Leader, read_at: int) -> list:
-    """Give what runs at the same time while a term lasts.
+    """Return the coroutines that run concurrently during a term.
 
-    :param read_at: revision of the store as jobs were read
+    :param read_at: revision of the store at which jobs were read
     """
     parts = [
         _follow_intake(leader, read_at),
@@ -165,11 +168,11 @@
 
 
 async def _read_legacy(store: stores.Store) -> Legacy:
-    """Read all that lies in the store, side by side.
+    """Read all stored state concurrently.
 
-    One after another they would take half of a takeover in a slow store.
+    Sequential reads would take half of the takeover time with a slow store.
 
-    :raises errors.CallFailed: the store didn't answer
+    :raises errors.CallFailed: the store did not answer
     """
     ranges = (
         keeping.ROSTER_PREFIX,
@@ -189,9 +192,9 @@
 
 
 async def _until_answered(call: parallel.Call) -> typing.Any:
-    """Make a call that only reads, again while it gets no answer.
+    """Make a read-only call and repeat it while it gets no answer.
 
-    :raises errors.CallFailed: the store refused, or never answered
+    :raises errors.CallFailed: the store refused the call or never answered
     """
     for _ in range(READ_TRIES - 1):
         try:
@@ -202,9 +205,9 @@
 
 
 async def _inherit(leader: states.Leader) -> int:
-    """Take in all that lies in the store; gives the revision of the jobs.
+    """Load all stored state and return the revision of the jobs.
 
-    :raises errors.CallFailed: the store didn't answer
+    :raises errors.CallFailed: the store did not answer
     """
     legacy = await _read_legacy(leader.server.store)
     orders, waves = legacy.orders, legacy.waves
@@ -223,7 +226,7 @@
 
 
 def _take_jobs(leader: states.Leader, legacy: Legacy) -> None:
-    """Take in jobs, then how far they are, then their cancels."""
+    """Add the stored jobs, then their progress, then their cancels."""
     now_s = clock.now_s()
     cancels = []
     for item in legacy.taken.items:
@@ -243,15 +246,16 @@
 async def _meet_former_workers(
     leader: states.Leader, rosters: stores.Items
 ) -> None:
-    """Meet the workers that an earlier leader may have used."""
+    """Register the workers that an earlier leader may have used."""
     now_s = clock.now_s()
     leases_end_s = former.leases_end_s(leader, now_s)
     for item in rosters.items:
         try:
             entries_ = _roster(item)
         except msgspec.MsgspecError as error:
-            # The workers are met by their entries; which of them were used
-            # isn't known, so what may run somewhere waits for all leases.
+            # The workers are registered from their entries. It is unknown
+            # which of them were used, so tasks that may be running
+            # somewhere wait until all leases have expired.
             event_log.emit('worker', 'malformed', key=item.key, why=str(error))
             leader.rosters_unread_until_s = leases_end_s
             continue
@@ -261,11 +265,11 @@
 
 
 def _roster(item: stores.Item) -> list[reports.Entry]:
-    """Decode a roster.
+    """Decode a stored worker list, without workers that can't be called.
 
-    A worker that can't be called was never given anything.
+    A worker that cannot be called was never given a task.
 
-    :raises msgspec.MsgspecError: it can't be read
+    :raises msgspec.MsgspecError: the list cannot be decoded
     """
     rows = keeping.decode_roster(item.value)
     return [row for row in rows if entries.is_callable(row)]
@@ -274,10 +278,10 @@
 def _restore(
     leader: states.Leader, entry: ledgers.Entry, value: bytes, now_s: float
 ) -> None:
-    """Bring a job to its kept progress.
+    """Apply the stored progress of a job.
 
-    A job whose progress can't be read is left alone: what of it has run
-    isn't known.
+    A job whose progress cannot be decoded is not run, as it is unknown which
+    of its tasks have already run.
     """
     try:
         progress = msgspec.json.decode(value, type=record.Progress)
@@ -290,7 +294,7 @@
 
 
 def _note_past_arrivals(leader: states.Leader) -> None:
-    """Learn from the jobs in the store when which pool had its turn."""
+    """Restore the recent arrivals of each pool from the stored jobs."""
     now_s = clock.now_s()
     wall_ms = clock.wall_ms()
     entries = list(leader.ledger.entries.values())
@@ -303,10 +307,10 @@
 
 
 async def _follow_intake(leader: states.Leader, revision: int) -> None:
-    """Follow jobs and cancels from the reading of the takeover on.
+    """Follow jobs and cancels from the revision read at takeover.
 
-    Read whole once more, they would take a slow link for so long that the
-    leader's lease can't be renewed.
+    Reading them all again could keep a slow link busy for so long that the
+    leader's lease cannot be renewed.
     """
 
     async def take(items: list[stores.Item], whole: bool) -> None:
@@ -356,7 +360,7 @@
 
 
 async def _serve_workers(leader: states.Leader) -> None:
-    """Run the loops of each worker, from when it is met."""
+    """Run the loops of each worker from its registration on."""
     async with curio.TaskGroup(wait=any) as group:
         await group.spawn(_meet_workers, leader, group)
 
@@ -372,9 +376,10 @@
 async def _until_fault(
     leader: states.Leader, loop: collections.abc.Awaitable
 ) -> None:
-    """End the term at a fault in a worker's loop.
+    """End the term if a worker's loop raises an exception.
 
-    The worker would go on with nobody to renew it; the next term asks anew.
+    Otherwise nobody would renew that worker's lease any more; the next term
+    contacts it anew.
     """
     try:
         await loop
@@ -384,7 +389,7 @@
 
 
 async def _watch_role(leader: states.Leader) -> None:
-    """End the term for another leader's, on a stop, or for a better one."""
+    """End the term if another server leads or should, or on a stop."""
     server = leader.server
     while not leader.deposed:
         asleep_s = clock.now_s()
@@ -406,7 +411,7 @@
 
 
 def _reason_to_yield(leader: states.Leader, now_s: float) -> str:
-    """Say why another server should lead; '' while we can't let go."""
+    """Return why another server should lead; '' if none should or can."""
     server = leader.server
     if not states.holds_lease(leader):
         return ''
@@ -423,7 +428,7 @@
 
 
 async def _stay(leader: states.Leader) -> None:
-    """Put the mark that we lead under a new lease."""
+    """Write the liveness key again, attached to the new lease."""
     server = leader.server
     conditions = {
         roles_.LEADER_KEY: leader.revision,
@@ -450,18 +455,18 @@
 
 
 async def _hand_over(leader: states.Leader) -> None:
-    """Write what is unwritten before another takes over."""
+    """Write all pending progress before another server takes over."""
     event_log.emit('leader', 'hands-over', term=leader.term)
     try:
         async with curio.timeout_after(HAND_OVER_S):
             await keeping.keep(leader)
     except curio.TaskTimeout as error:
-        # The workers still list what wasn't acknowledged.
+        # Workers keep reporting ends that were not acknowledged.
         event_log.emit('leader', 'not-all-written', why=repr(error))
 
 
 async def _resign(leader: states.Leader) -> None:
-    """Let another server lead at once, if we still seem to."""
+    """Let another server lead at once, if this one still seems to lead."""
     server = leader.server
     roles = server.roles
     if roles.leader_revision != leader.revision:
@@ -479,7 +484,8 @@
                 timeout_s=RESIGN_S,
             )
         except errors.Unanswered as error:
-            # Done twice it changes nothing, and fails once another leads.
+            # A repeated write is harmless: the second one changes nothing,
+            # and it is refused once another server leads.
             event_log.emit('leader', 'not-resigned', why=str(error))
             continue
         except (errors.CallFailed, stores.Conflict) as error:
--- a/oleanderwood/leading/watcher.py
+++ b/oleanderwood/leading/watcher.py
@@ -1,4 +1,4 @@
-"""Following a range of the store: read it whole, then watch it."""
+"""Follows a key range of the store: reads it completely, then watches it."""
 
 import collections.abc
 import dataclasses
@@ -11,8 +11,8 @@
 from oleanderwood.platform import store as stores
 
 PAUSE_S = 0.15
-"""Pause after a failed call; a store that is down is asked about seven
-times a second by each follower."""
+"""Pause after a failed call, in seconds; each follower calls a store that is
+down about seven times per second."""
 
 Take = collections.abc.Callable[
     [list[stores.Item], bool], collections.abc.Awaitable[None]
@@ -21,10 +21,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Contact:
-    """What a follower and the rest of the server tell each other of the store.
+    """Callbacks between a follower of the store and the rest of the server.
 
-    :ivar note: gets the time at which an answered call was sent
-    :ivar back: is set as the store answers again after a gap
+    :ivar note: called with the send time of each answered call
+    :ivar back: set when the store answers again after an outage
     """
 
     note: collections.abc.Callable[[float], collections.abc.Awaitable[None]]
@@ -39,14 +39,15 @@
     contact: Contact,
     revision: int | None = None,
 ) -> None:
-    """Pass on what lies below a prefix, and its changes, until cancelled.
-
-    :param wait_s: longest wait of one watch; a connection that went silent
-        is found after it
-    :param take: gets changes, removals too; or, if its second argument is
-        True, all items: at first and whenever changes were missed
-    :param revision: of the store as all below the prefix was read; None if it
-        wasn't yet
+    """Pass on all items below a prefix, and their changes, until cancelled.
+
+    :param wait_s: maximum duration of one watch; a dead connection is detected
+        after it
+    :param take: called with changes, including removals; or, with True as its
+        second argument, with all items: first, and whenever changes were
+        missed
+    :param revision: revision of the store at which all items below the prefix
+        were read; None if they were not read yet
     """
     lost_s = None
     while True:
@@ -86,13 +87,14 @@
 async def _until_back(
     call: collections.abc.Awaitable[stores.Items], back: curio.Event
 ) -> stores.Items | None:
-    """Make a call to the store; None if the store came back meanwhile.
+    """Call the store; return None if it came back meanwhile.
 
-    A call that a silent store has taken is never answered. Without this, who
-    leads would be heard of up to a watch's time after the store is back.
+    A call to a store that then became unreachable may never be answered.
+    Without this check, changes, such as a new leader, would be seen up to one
+    watch duration after the store is back.
 
-    :raises stores.HistoryLost: read the range anew
-    :raises errors.CallFailed: the store didn't answer
+    :raises stores.HistoryLost: the range must be read anew
+    :raises errors.CallFailed: the store did not answer
     """
     async with curio.TaskGroup(wait=any) as group:
         asking = await group.spawn(_outcome, call)
@@ -107,7 +109,9 @@
 async def _outcome(
     call: collections.abc.Awaitable[stores.Items],
 ) -> stores.Items | errors.CallFailed | stores.HistoryLost:
-    """Give an expected failure as a value: a task's exception is logged."""
+    """Return an expected failure as a value, as exceptions of tasks are
+    logged.
+    """
     try:
         return await call
     except (errors.CallFailed, stores.HistoryLost) as error:
