--- a/oleanderwood/leading/intake.py
+++ b/oleanderwood/leading/intake.py
@@ -1,4 +1,4 @@
-"""What reaches the leader through the store: jobs, cancels, workers, waves."""
+"""Applies jobs, cancels, workers and waves that the leader reads."""
 
 import curio
 import msgspec
@@ -27,21 +27,22 @@
 from oleanderwood.pools import workers as workers_
 from oleanderwood import server_metrics
 
-NAMED_CHECK_S = 0.1
-"""Time between two looks at which services the configuration names."""
+CONFIGURATION_CHECK_S = 0.1
+"""Interval between two checks of which services are configured, in seconds."""
 
-MOVED = 'listed at another place'
-"""Why a worker is gone whose entry names another address than before."""
+MOVED_REASON = 'its entry names another location'
+"""Reason logged when a worker is lost because its entry names another
+location."""
 
 JOB_DECODER = msgspec.json.Decoder(model.Job)
 
 
-def take_intake(
+def apply_intake(
     leader: states.Leader, item: stores.Item, taking_over: bool
 ) -> None:
-    """Take in a job or a cancel.
+    """Apply a stored job, cancel or policy.
 
-    :param taking_over: it lay in the store as this leader read it
+    :param taking_over: it was in the store when this leader took over
     """
     now_s = clock.now_s()
     if item.removed:
@@ -52,15 +53,15 @@
         except msgspec.MsgspecError as error:
             event_log.emit('job', 'malformed', key=item.key, why=str(error))
             return
-        _take_job(leader, job, now_s, taking_over, item.revision)
+        _add_job(leader, job, now_s, taking_over, item.revision)
     elif item.key.startswith(record.CANCEL_PREFIX):
         cancel(leader, ids.JobId(item.key.removeprefix(record.CANCEL_PREFIX)))
     elif item.key == record.POLICY_KEY:
-        _take_policy(leader, item)
+        _apply_policy(leader, item)
 
 
-def _take_policy(leader: states.Leader, item: stores.Item) -> None:
-    """Take over what operators have applied; never an older one."""
+def _apply_policy(leader: states.Leader, item: stores.Item) -> None:
+    """Apply the policy set by operators, unless a newer one is known."""
     if item.revision <= leader.policy_revision:
         return
     try:
@@ -78,19 +79,19 @@
     )
 
 
-def _take_job(
+def _add_job(
     leader: states.Leader,
     job: model.Job,
     now_s: float,
     taking_over: bool,
     revision: int = 0,
 ) -> None:
-    """Take a job in.
+    """Add a job to the ledger.
 
-    :param revision: of the store as it wrote the job; 0 if the server that
-        wrote it has told of it
+    :param revision: revision of the store at which the job was written; 0 if
+        reported directly by the server that wrote it
     """
-    if job.job in leader.ledger.entries or job.job in leader.unreadable:
+    if job.job in leader.ledger.entries or job.job in leader.unreadable_jobs:
         return
     if job.term > leader.term:
         _note_superseded(leader, job)
@@ -114,18 +115,18 @@
             revision=revision,
             accepted_under=job.term,
         )
-    if job.job in leader.cancelled_unknown:
+    if job.job in leader.early_cancels:
         cancel(leader, job.job)
 
 
 def _note_superseded(leader: states.Leader, job: model.Job) -> None:
-    """Stop leading: the job was accepted under a later leader.
+    """Stop leading, since the job was accepted under a later leader.
 
-    That one takes it for a job that nobody else has started.
+    That leader assumes that nobody else has started the job.
     """
     if leader.deposed:
         return
-    leader.deposed = 'a job of a later term was accepted'
+    leader.deposed = 'a job was accepted under a later term'
     event_log.emit(
         'leader',
         'superseded',
@@ -136,15 +137,15 @@
 
 
 async def take_jobs(leader: states.Leader, jobs: list[model.Job]) -> None:
-    """Take in jobs that the server which wrote them tells of."""
+    """Add jobs reported by the server that wrote them."""
     now_s = clock.now_s()
     for job in jobs:
-        _take_job(leader, job, now_s, taking_over=False)
+        _add_job(leader, job, now_s, taking_over=False)
     await after_intake(leader)
 
 
 def _traits(job: model.Job) -> list[str]:
-    """Name what a job asks for beyond plain tasks, for the log."""
+    """Return the special requirements of a job's steps, for the log."""
     named = {
         'long-running': any(step.lasting for step in job.work.steps),
         'leftover': any(step.uses_leftover for step in job.work.steps),
@@ -161,10 +162,10 @@
 
 
 def cancel(leader: states.Leader, job: ids.JobId) -> None:
-    """Cancel a job that its caller doesn't want any more."""
+    """Cancel a job at its caller's request."""
     entry = leader.ledger.entries.get(job)
     if entry is None:
-        leader.cancelled_unknown.add(job)
+        leader.early_cancels.add(job)
         return
     if ledgers.final(entry):
         return
@@ -173,7 +174,7 @@
 
 
 async def after_intake(leader: states.Leader) -> None:
-    """Do what newly taken jobs and cancels make necessary."""
+    """Wake the tasks that newly added jobs and cancels concern."""
     if leader.deposed:
         await leader.ended.set()
         return
@@ -183,30 +184,30 @@
         await leader.unkept.set()
 
 
-async def take_worker(leader: states.Leader, item: stores.Item) -> None:
-    """Take over a worker's entry in the store, or its removal."""
+async def apply_worker(leader: states.Leader, item: stores.Item) -> None:
+    """Apply a worker's entry in the store, or its removal."""
     name = ids.ExecutorId(item.key.removeprefix(executors.PREFIX))
     if item.removed:
         entries_.forget(leader.entries, name)
-        _unlist(leader, name)
+        _mark_unlisted(leader, name)
         return
     try:
         entry = entries.decode(item.key, item.value)
     except entries_.BadEntry as error:
         leader.entries.waiting.pop(name, None)
-        _refuse(leader, name, 'malformed', error)
+        _refuse_entry(leader, name, 'malformed', error)
         return
-    await _take_entry(leader, entry)
+    await _apply_entry(leader, entry)
 
 
-def _unlist(
+def _mark_unlisted(
     leader: states.Leader,
     name: ids.ExecutorId,
     but: workers_.Worker | None = None,
 ) -> None:
-    """Note that an executor has no entry, or none that can be used.
+    """Record that an executor has no usable entry.
 
-    :param but: the life whose entry it has
+    :param but: the incarnation that has the entry
     """
     for known in states.lives_of(leader, name):
         if known.listed and known is not but:
@@ -214,15 +215,15 @@
             event_log.emit('worker', 'unlisted', worker=known.entry.worker)
 
 
-def _refuse(
+def _refuse_entry(
     leader: states.Leader,
     name: ids.ExecutorId,
     event: str,
     error: entries_.BadEntry,
 ) -> None:
-    """Count an entry that can't be used; log it unless that was just said.
+    """Count an unusable entry, and log it unless it was just logged.
 
-    A worker that is known by this id goes on as one without an entry.
+    A worker that is known under this id continues as one without an entry.
     """
     server_metrics.ENTRIES_REFUSED.labels(error.fault.value).inc()
     if entries_.note_refusal(leader.entries, name, error.reason):
@@ -234,34 +235,35 @@
             why=error.reason,
             known=name in leader.lives,
         )
-    _unlist(leader, name)
+    _mark_unlisted(leader, name)
 
 
-async def _take_entry(leader: states.Leader, entry: reports.Entry) -> None:
+async def _apply_entry(leader: states.Leader, entry: reports.Entry) -> None:
     name = lives.executor(entry.worker)
     known = leader.workers.get(entry.worker)
-    _unlist(leader, name, known)
+    _mark_unlisted(leader, name, known)
     if known is not None and known.provisional:
-        _give_place(leader, known, entry)
+        _apply_location(leader, known, entry)
     if known is not None and not entries_.same_place(entry, known.entry):
-        # If nobody has answered where it was said to be, it is met anew.
+        # If nobody has answered at its known location, it is registered
+        # anew.
         may_run = workers_.may_run(known, clock.now_s())
-        if may_run or not await worker_loop.lost(leader, known, MOVED):
+        if may_run or not await worker_loop.lost(leader, known, MOVED_REASON):
             error = entries_.BadEntry(
                 entries_.Fault.CONTRADICTS,
                 f'{entry.service!r} at {entry.address} on {entry.machine!r}',
             )
-            _refuse(leader, name, 'contradicted', error)
+            _refuse_entry(leader, name, 'contradicted', error)
             return
         known = None
     if known is None:
-        await _take_new(leader, entry)
+        await _register_worker(leader, entry)
         return
     entries_.forget(leader.entries, name)
     if entry.draining and not known.entry.draining:
         event_log.emit('worker', 'draining', worker=entry.worker)
         known.entry = entry
-        await leave_draining(leader, known)
+        await stop_long_running(leader, known)
     if entry.capacity != known.entry.capacity:
         event_log.emit(
             'worker',
@@ -279,13 +281,13 @@
     await leader.due.set()
 
 
-def _give_place(
+def _apply_location(
     leader: states.Leader, worker: workers_.Worker, entry: reports.Entry
 ) -> None:
-    """Let a life that was met by its answer belong where its entry says.
+    """Move a provisional incarnation to the location in its entry.
 
-    It may be of another pool, kind and rack than its executor's life before;
-    only the address is known, as it has answered there.
+    Its pool, kind and rack may differ from those of the executor's earlier
+    incarnation; only the address is known, as the worker has answered there.
     """
     if entry.address != worker.entry.address:
         return
@@ -295,65 +297,68 @@
     worker.provisional = False
 
 
-async def _take_new(leader: states.Leader, entry: reports.Entry) -> None:
-    """Meet a worker, unless no configuration names its service so far."""
-    if not _names(leader.server.configuration, entry.service):
+async def _register_worker(
+    leader: states.Leader, entry: reports.Entry
+) -> None:
+    """Register a worker, unless its service is not configured yet."""
+    if not _is_configured(leader.server.configuration, entry.service):
         entries_.wait(leader.entries, entry)
         error = entries_.BadEntry(
             entries_.Fault.SERVICE, f'service {entry.service!r}'
         )
-        _refuse(leader, lives.executor(entry.worker), 'not-named', error)
+        _refuse_entry(leader, lives.executor(entry.worker), 'not-named', error)
         return
     entries_.forget(leader.entries, lives.executor(entry.worker))
-    # It may be an earlier life of a known worker's machine, written
-    # late: entries are no proof of who lives. Calls are.
+    # The entry may belong to an earlier incarnation on a known worker's
+    # machine and be written late. Only an answered call proves that a
+    # worker is alive; an entry does not.
     await meeting.meet(leader, entry, listed=True)
 
 
-def _names(
+def _is_configured(
     configuration: queues.Configuration | None, service: ids.ServiceId
 ) -> bool:
     return configuration is not None and service in configuration.services
 
 
-async def take_named_always(leader: states.Leader) -> None:
-    """Take up entries whose service has been named, until cancelled."""
+async def apply_waiting_always(leader: states.Leader) -> None:
+    """Apply waiting entries once their service is configured."""
     services: tuple[ids.ServiceId, ...] = ()
     while True:
         configuration = leader.server.configuration
         if configuration is not None and configuration.services != services:
             services = configuration.services
             for entry in list(leader.entries.waiting.values()):
-                # Another may have come while one was taken.
+                # A newer entry may have arrived in the meantime.
                 name = lives.executor(entry.worker)
                 current = leader.entries.waiting.get(name) is entry
-                if current and _names(configuration, entry.service):
-                    await _take_entry(leader, entry)
-        await curio.sleep(NAMED_CHECK_S)
+                if current and _is_configured(configuration, entry.service):
+                    await _apply_entry(leader, entry)
+        await curio.sleep(CONFIGURATION_CHECK_S)
 
 
-async def unlist_others(
+async def mark_absent_unlisted(
     leader: states.Leader, items: list[stores.Item]
 ) -> None:
-    """Note which workers a whole reading of the entries lacks."""
+    """Record which workers are missing in a complete read of the entries."""
     listed = {item.key.removeprefix(executors.PREFIX) for item in items}
     entries_.keep_only(leader.entries, listed)
     for name in list(leader.lives):
         if name not in listed:
-            _unlist(leader, name)
+            _mark_unlisted(leader, name)
 
 
-async def leave_draining(
+async def stop_long_running(
     leader: states.Leader, worker: workers_.Worker
 ) -> None:
-    """Take long-running tasks off a worker that is about to leave."""
+    """Stop long-running tasks on a worker that is about to shut down."""
     for task in list(worker.runs.values()):
         if task.group.step.lasting:
             await worker_loop.stop_run(leader, task)
 
 
-def take_wave(leader: states.Leader, item: stores.Item) -> None:
-    """Take over a wave that the operator asks for."""
+def apply_wave(leader: states.Leader, item: stores.Item) -> None:
+    """Apply a maintenance wave requested by the operator."""
     if item.removed:
         return
     try:
@@ -367,12 +372,12 @@
         return
     progress = rolling.Progress(wave, clock.now_s())
     leader.fleet.waves[wave.wave] = progress
-    kept = leader.fleet.kept_waves.get(str(wave.wave))
+    kept = leader.fleet.stored_waves.get(str(wave.wave))
     if kept is not None:
         try:
             fleet_loop.restore(progress, kept)
         except msgspec.MsgspecError as error:
-            # What has begun is ordered again, which changes nothing.
+            # Machines that have begun are ordered again, without effect.
             event_log.emit('wave', 'kept-malformed', why=str(error))
     event_log.emit(
         'wave',
--- a/oleanderwood/leading/keeping.py
+++ b/oleanderwood/leading/keeping.py
@@ -1,4 +1,4 @@
-"""Writing progress to the store; ends are acknowledged only after it."""
+"""Writes progress to the store; ends are acknowledged only afterwards."""
 
 import hashlib
 
@@ -23,39 +23,41 @@
 from oleanderwood import server_metrics
 
 ROSTER_PREFIX = 'ow/workers/'
-"""The workers of a pool that an earlier leader may have given tasks."""
+"""Prefix of the stored lists, one per pool, of workers that an earlier leader
+may have given tasks."""
 
-DIGEST_MARK = '~'
-"""Begins what stands in a roster's key for a name that is too long for one;
-the workers' rows hold the name itself."""
+DIGEST_PREFIX = '~'
+"""Marks a digest in the key of a worker list, used where the pool's name is
+too long for a key; the workers' rows contain the name itself."""
 
-GATHER_S = 0.03
-"""Time in which ends are gathered for one write. It delays callers' sight
-of a completed job by as much; each write has a price."""
+BATCH_DELAY_S = 0.03
+"""Time during which ends are collected into one write, in seconds. It delays
+callers' view of a completed job by as much; each write has a cost."""
 
-WRITES_AT_ONCE = 6
-"""Writes that are under way at the same time: one after another, ends wait
+MAX_CONCURRENT_WRITES = 6
+"""Maximum number of concurrent writes; with sequential writes, ends would wait
 for a slow store."""
 
-FAILED_PAUSE_S = 0.15
-"""Pause after a failed write."""
+RETRY_PAUSE_S = 0.15
+"""Pause after a failed write, in seconds."""
 
-FORGET_SLACK_S = 30.0
-"""How much longer than callers may ask an ended job is kept."""
+RETENTION_SLACK_S = 30.0
+"""How long an ended job is stored after callers may no longer ask for it, in
+seconds."""
 
 
-async def keep_rosters_always(leader: states.Leader) -> None:
-    """Write rosters that have changed, until cancelled.
+async def write_worker_lists_always(leader: states.Leader) -> None:
+    """Write changed worker lists until cancelled.
 
-    Jobs don't wait for them: where machines move all the time and the store is
-    slow, rosters change faster than they are written.
+    Jobs don't wait for them: if machines move all the time and the store is
+    slow, worker lists change faster than they can be written.
     """
     lost = False
     while True:
         await leader.unrostered.wait(1.0)
-        await curio.sleep(GATHER_S)
+        await curio.sleep(BATCH_DELAY_S)
         try:
-            await _keep_rosters(leader)
+            await _write_worker_lists(leader)
         except stores.Conflict:
             await states.depose(leader, 'another server leads')
             return
@@ -63,7 +65,7 @@
             if not lost:
                 event_log.emit('store', 'not-rostered', why=error.reason)
             lost = True
-            await curio.sleep(FAILED_PAUSE_S)
+            await curio.sleep(RETRY_PAUSE_S)
             await leader.unrostered.set()
             continue
         if lost:
@@ -71,65 +73,67 @@
             lost = False
 
 
-async def keep_always(leader: states.Leader) -> None:
-    """Write progress that is unwritten, until cancelled.
+async def write_progress_always(leader: states.Leader) -> None:
+    """Write unwritten progress until cancelled.
 
-    Each write is a task of its own: an end that comes while others are under
-    way doesn't wait for them. In a store that answered in 0.35 s, rounds of
-    writes told callers of ends 0.52 s late in the middle.
+    Each write is a task of its own, so an end does not wait for writes that
+    are in flight. With a store that answered in 0.35 s, sequential rounds of
+    writes reported ends to callers 0.52 s late in the median.
     """
     while not leader.deposed:
         await leader.unkept.wait(1.0)
-        await curio.sleep(GATHER_S)
-        _note_seen_ends(leader)
-        while leader.writes_under_way < WRITES_AT_ONCE:
+        await curio.sleep(BATCH_DELAY_S)
+        _note_reported_ends(leader)
+        while leader.writes_in_flight < MAX_CONCURRENT_WRITES:
             entries = persistence.take_up(
-                leader.ledger, fenced_writes.KEYS_A_WRITE
+                leader.ledger, fenced_writes.MAX_KEYS_PER_WRITE
             )
             if not entries:
                 break
-            leader.writes_under_way += 1
-            await curio.spawn(_write, leader, entries, daemon=True)
+            leader.writes_in_flight += 1
+            await curio.spawn(_write_batch, leader, entries, daemon=True)
         await _acknowledge(leader)
 
 
-async def keep(leader: states.Leader) -> None:
-    """Wait until all that is unwritten now is written, or the term ends."""
+async def flush_progress(leader: states.Leader) -> None:
+    """Wait until everything unwritten now is written, or the term ends."""
     changes = leader.ledger.changes
     await leader.unkept.set()
     while not leader.deposed:
         if persistence.written_up_to(leader.ledger) >= changes:
             return
-        await curio.sleep(GATHER_S)
+        await curio.sleep(BATCH_DELAY_S)
 
 
-async def _write(leader: states.Leader, entries: list[ledgers.Entry]) -> None:
-    """Write jobs that were taken up; a failure is tried again."""
+async def _write_batch(
+    leader: states.Leader, entries: list[ledgers.Entry]
+) -> None:
+    """Write a batch of jobs; failed jobs become unwritten again."""
     try:
-        await _keep_jobs(leader, entries)
+        await _write_jobs(leader, entries)
     except stores.Conflict:
         await states.depose(leader, 'another server leads')
     except errors.CallFailed as error:
         if not leader.write_failed:
             event_log.emit('store', 'not-written', why=error.reason)
         leader.write_failed = True
-        await curio.sleep(FAILED_PAUSE_S)
+        await curio.sleep(RETRY_PAUSE_S)
     except Exception as error:
         event_log.emit('leader', 'fault', why=repr(error))
-        await states.depose(leader, f'a fault: {error!r}')
+        await states.depose(leader, f'unexpected exception: {error!r}')
     else:
         if leader.write_failed:
             event_log.emit('store', 'written-again')
         leader.write_failed = False
     finally:
-        leader.writes_under_way -= 1
+        leader.writes_in_flight -= 1
     await _acknowledge(leader)
     if leader.ledger.dirty:
         await leader.unkept.set()
 
 
-def _note_seen_ends(leader: states.Leader) -> None:
-    """Note which ends are told of by the changes so far."""
+def _note_reported_ends(leader: states.Leader) -> None:
+    """Record which ends are covered by the changes so far."""
     seen = {
         name: worker.seen_end
         for name, worker in leader.workers.items()
@@ -140,7 +144,7 @@
 
 
 async def _acknowledge(leader: states.Leader) -> None:
-    """Let ends be acknowledged whose changes are all written."""
+    """Allow the acknowledgement of ends whose changes are all written."""
     written = persistence.written_up_to(leader.ledger)
     while leader.seen_ends and leader.seen_ends[0].changes <= written:
         for name, number in leader.seen_ends.popleft().ends.items():
@@ -150,13 +154,13 @@
                 await leader.ends_kept[name].set()
 
 
-async def _keep_jobs(
+async def _write_jobs(
     leader: states.Leader, entries: list[ledgers.Entry]
 ) -> None:
-    """Write jobs.
+    """Write the progress of jobs.
 
     :raises stores.Conflict: another server leads
-    :raises errors.CallFailed: they may be written or not
+    :raises errors.CallFailed: the progress may or may not be written
     """
     crashes = {entry.job.job: entry.crashes_noted for entry in entries}
     written = {entry.job.job: record.progress_of(entry) for entry in entries}
@@ -179,7 +183,7 @@
         state = written[entry.job.job].state
         if state is not entry.kept_state:
             entry.kept_state = state
-            # What was written, not what has become of the job meanwhile.
+            # The state that was written; the job may have changed since.
             if state in model.FINAL:
                 _log_end(entry)
 
@@ -198,19 +202,19 @@
     )
 
 
-async def _keep_rosters(leader: states.Leader) -> None:
+async def _write_worker_lists(leader: states.Leader) -> None:
     """Write which workers may be given tasks, before any is given one.
 
-    The next leader waits for the workers that it reads there, and for no
-    others. One that was lost and met again has to be written again first: its
-    row may have gone, or tell where it was before.
+    The next leader waits only for the workers that it reads there. A worker
+    that was lost and registered again must be written again first: its row may
+    have been removed, or contain its earlier location.
     """
     while leader.roster_dirty:
-        await _keep_some_rosters(leader)
+        await _write_some_worker_lists(leader)
 
 
-async def _keep_some_rosters(leader: states.Leader) -> None:
-    services = sorted(leader.roster_dirty)[: fenced_writes.KEYS_A_WRITE]
+async def _write_some_worker_lists(leader: states.Leader) -> None:
+    services = sorted(leader.roster_dirty)[: fenced_writes.MAX_KEYS_PER_WRITE]
     writes = {}
     members: list[workers_.Worker] = []
     for service in services:
@@ -223,7 +227,7 @@
         writes[roster_key(service)] = msgspec.json.encode(
             [row.entry for row in rows]
         )
-    # What is met or lost during the write is to be written after it.
+    # Workers registered or lost during the write need another write.
     leader.roster_dirty.difference_update(services)
     try:
         await fenced_writes.write(leader, writes)
@@ -236,27 +240,26 @@
 
 
 def roster_key(service: ids.ServiceId) -> str:
-    """Give the key of a pool's roster; names of any length have one.
+    """Return the key of a pool's worker list, for pool names of any length.
 
-    A key that the store refuses would hold up all progress, which is
-    written after the rosters.
+    A key that the store refuses would block the writes of worker lists.
     """
     key = ROSTER_PREFIX + service
     short = len(key.encode()) <= stores.MAX_KEY_BYTES
-    if short and not service.startswith(DIGEST_MARK):
+    if short and not service.startswith(DIGEST_PREFIX):
         return key
     digest = hashlib.sha256(service.encode()).hexdigest()
-    return ROSTER_PREFIX + DIGEST_MARK + digest
+    return ROSTER_PREFIX + DIGEST_PREFIX + digest
 
 
-def decode_roster(value: bytes) -> list[reports.Entry]:
-    """Decode the workers of one pool's roster."""
+def decode_worker_list(value: bytes) -> list[reports.Entry]:
+    """Decode the workers of one pool's stored list."""
     return msgspec.json.decode(value, type=list[reports.Entry])
 
 
-async def forget_always(leader: states.Leader) -> None:
-    """Remove ended jobs that callers may not ask for any more."""
-    kept_s = leader.server.settings.job_retention_s + FORGET_SLACK_S
+async def remove_ended_jobs_always(leader: states.Leader) -> None:
+    """Remove ended jobs that callers may no longer ask for."""
+    kept_s = leader.server.settings.job_retention_s + RETENTION_SLACK_S
     while True:
         await curio.sleep(5.0)
         before_s = clock.now_s() - kept_s
@@ -268,10 +271,10 @@
             and entry.ended_s < before_s
         ]
         for start in range(0, len(old), 10):
-            await _forget(leader, old[start : start + 10])
+            await _remove_jobs(leader, old[start : start + 10])
 
 
-async def _forget(leader: states.Leader, jobs: list[ids.JobId]) -> None:
+async def _remove_jobs(leader: states.Leader, jobs: list[ids.JobId]) -> None:
     keys = []
     for job in jobs:
         keys += [
--- a/oleanderwood/leading/lease.py
+++ b/oleanderwood/leading/lease.py
@@ -1,4 +1,4 @@
-"""The server's lease in the store, and its own row under it."""
+"""The server's lease in the store, and its own row attached to it."""
 
 import dataclasses
 
@@ -15,39 +15,40 @@
 from oleanderwood.platform import store as stores
 from oleanderwood import verdict as verdicts
 
-RENEW_S = states.LEASE_S / 3
-"""Time between two renewals: two may be lost before the lease ends."""
+RENEW_INTERVAL_S = states.SERVER_LEASE_S / 3
+"""Interval between two renewals, in seconds; two may be lost before the lease
+expires."""
 
-RETRY_S = 0.1
-"""Pause after a failed renewal."""
+RETRY_PAUSE_S = 0.1
+"""Pause after a failed renewal, in seconds."""
 
-AGAIN_S = 0.15
-"""Time without an answer after which the lease is renewed by another call: one
-lost answer must not use up the time that is left."""
+RESEND_AFTER_S = 0.15
+"""Time without an answer, in seconds, after which another renewal is sent
+concurrently: one lost answer must not use up the remaining time."""
 
-GRANT_S = 0.4
-"""Longest wait for a new lease. Where answers are lost after leases ran out,
-the servers that get one first lead, whatever their size; a lease that nobody
-knows of ends by itself."""
+GRANT_TIMEOUT_S = 0.4
+"""Timeout of a request for a new lease, in seconds. If answers are lost after
+leases have expired, the servers that obtain a lease first lead, whatever their
+size. A lease whose grant was not answered expires by itself."""
 
-LEAST_LEFT_S = 0.6
-"""Least time for a renewal, also of a lease that seems to have ended: four
-calls."""
+MIN_RENEW_TIMEOUT_S = 0.6
+"""Minimum timeout of a renewal, in seconds, even if the lease seems to have
+expired; it allows four calls."""
 
-MARGIN_S = 0.1
-"""How much earlier than the store we take the lease for ended; clocks of
-two machines differ in rate by far less over a lease."""
+EXPIRY_MARGIN_S = 0.1
+"""How much earlier than the store this server considers the lease expired, in
+seconds; clock rates of two machines differ by far less over a lease."""
 
-GAP_S = 1.5
-"""Time without an answer after which the store counts as back; renewals and
-watches answer each second."""
+CONTACT_GAP_S = 1.5
+"""Time without an answer, in seconds, after which the next answer means that
+the store is back; renewals and watches are answered every second."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Granted:
-    """A lease that the store has given.
+class GrantedLease:
+    """A lease granted by the store.
 
-    :ivar until_s: by when it may have ended
+    :ivar until_s: time by which it may have expired
     """
 
     lease: int
@@ -55,14 +56,14 @@
 
 
 async def keep_always(server: states.Server) -> None:
-    """Hold a lease and the server's row, until cancelled."""
-    granted: Granted | None = None
+    """Hold a lease and the server's row until cancelled."""
+    granted: GrantedLease | None = None
     while True:
         try:
             if not server.lease:
                 if granted is None or clock.now_s() >= granted.until_s:
                     granted = await _grant(server)
-                await _hold(server, granted)
+                await _adopt(server, granted)
             else:
                 await _renew(server)
                 if not _has_row(server):
@@ -75,29 +76,29 @@
             continue
         except (errors.CallFailed, stores.Conflict) as error:
             event_log.emit('lease', 'not-renewed', why=str(error))
-            await curio.sleep(RETRY_S)
+            await curio.sleep(RETRY_PAUSE_S)
             continue
-        await server.lease_wanted.wait(RENEW_S)
+        await server.lease_wanted.wait(RENEW_INTERVAL_S)
 
 
 def lease_s(server: states.Server) -> float:
-    """Give the time of a lease, as the store allows it."""
+    """Return the duration of a lease, in seconds, as the store allows it."""
     least_s = server.settings.store_lease_min_ms / 1000
-    return max(states.LEASE_S, least_s)
+    return max(states.SERVER_LEASE_S, least_s)
 
 
-async def _grant(server: states.Server) -> Granted:
+async def _grant(server: states.Server) -> GrantedLease:
     sent_s = clock.now_s()
-    lease = await stores.grant(server.store, lease_s(server), GRANT_S)
+    lease = await stores.grant(server.store, lease_s(server), GRANT_TIMEOUT_S)
     await note_contact(server, sent_s)
-    return Granted(lease, sent_s + lease_s(server) - MARGIN_S)
+    return GrantedLease(lease, sent_s + lease_s(server) - EXPIRY_MARGIN_S)
 
 
-async def _hold(server: states.Server, granted: Granted) -> None:
-    """Write the row under a lease, and hold the lease.
+async def _adopt(server: states.Server, granted: GrantedLease) -> None:
+    """Write the server's row under a granted lease, then use the lease.
 
-    Without its row a server could be elected and be asked by nobody, so it
-    has no lease before the row is there. A row that is refused is written
+    Without a row, a server could be elected while no other server can call it,
+    so the lease counts only once the row is written. A refused row is written
     again under the same lease.
     """
     await _write_row(server, granted.lease)
@@ -108,10 +109,10 @@
 
 
 def _has_row(server: states.Server) -> bool:
-    """Say whether the store has the server's row, as far as it has told us.
+    """Return whether the store is known to have the server's row.
 
-    A write of it without an answer may be carried out late, under a lease
-    that has ended or ends unused, and the row goes with that.
+    An unanswered write may be carried out late, under a lease that has expired
+    or that expires unused; the row is removed with that lease.
     """
     if not server.roles.known:
         return True
@@ -138,42 +139,44 @@
         {},
         {key: msgspec.json.encode(row)},
         leases={key: lease},
-        timeout_s=RENEW_S,
+        timeout_s=RENEW_INTERVAL_S,
     )
 
 
 async def _renew(server: states.Server) -> None:
-    """Renew the lease, by another call each time that none is answered.
+    """Renew the lease, sending another call whenever one is not answered.
 
-    :raises stores.LeaseEnded: it doesn't exist any more
+    :raises stores.LeaseEnded: the lease does not exist any more
     :raises errors.CallFailed: the store refused, or answered no call in the
-        time that is left
+        remaining time
     """
-    left_s = max(LEAST_LEFT_S, server.lease_until_s - clock.now_s())
+    left_s = max(MIN_RENEW_TIMEOUT_S, server.lease_until_s - clock.now_s())
     timeout_s = min(stores.CALL_TIMEOUT_S, left_s)
     calls: list[curio.Task] = []
     try:
-        sent_s = await _until_answered(server, timeout_s, calls)
+        sent_s = await _renew_until_answered(server, timeout_s, calls)
     finally:
         for call in calls:
             await call.cancel()
     await note_contact(server, sent_s)
-    server.lease_until_s = sent_s + lease_s(server) - MARGIN_S
+    server.lease_until_s = sent_s + lease_s(server) - EXPIRY_MARGIN_S
 
 
-async def _until_answered(
+async def _renew_until_answered(
     server: states.Server, timeout_s: float, calls: list[curio.Task]
 ) -> float:
-    """Give when the call was sent that is answered first.
+    """Return the send time of the call that is answered first.
 
-    :param calls: gets the tasks that make the calls
+    :param calls: receives the tasks that make the calls
     """
     answers: curio.Queue = curio.Queue()
     until_s = clock.now_s() + timeout_s
     while (left_s := until_s - clock.now_s()) > 0:
-        call = await curio.spawn(_call, server, left_s, answers, daemon=True)
+        call = await curio.spawn(
+            _send_renewal, server, left_s, answers, daemon=True
+        )
         calls.append(call)
-        answer = await curio.ignore_after(AGAIN_S, answers.get())
+        answer = await curio.ignore_after(RESEND_AFTER_S, answers.get())
         if isinstance(answer, float):
             return answer
         if answer is not None and not isinstance(answer, errors.Unanswered):
@@ -184,10 +187,10 @@
     )
 
 
-async def _call(
+async def _send_renewal(
     server: states.Server, timeout_s: float, answers: curio.Queue
 ) -> None:
-    """Make one call; puts when it was sent, or its error."""
+    """Make one call and put its send time, or its error, into a queue."""
     sent_s = clock.now_s()
     try:
         await stores.renew(server.store, server.lease, timeout_s)
@@ -198,8 +201,8 @@
 
 
 async def note_contact(server: states.Server, sent_s: float) -> None:
-    """Note that the store answered a call sent at some time."""
-    is_back = sent_s - server.contact_s > GAP_S
+    """Record that the store answered a call sent at a given time."""
+    is_back = sent_s - server.contact_s > CONTACT_GAP_S
     server.contact_s = max(server.contact_s, sent_s)
     if is_back:
         server.back_s = clock.now_s()
@@ -208,7 +211,7 @@
 
 
 def contact(server: states.Server) -> watcher.Contact:
-    """Give what followers of the store tell a server, and hear from it."""
+    """Return the contact that followers of the store share with a server."""
 
     async def note(sent_s: float) -> None:
         await note_contact(server, sent_s)
