--- a/oleanderwood/leading/advising.py
+++ b/oleanderwood/leading/advising.py
@@ -1,4 +1,4 @@
-"""Asking for advice on the steps of queues that need it."""
+"""Requests for placement advice, for the steps of queues that need it."""
 
 import curio
 
@@ -11,33 +11,33 @@
 from oleanderwood.platform import advice
 from oleanderwood.pools import placing
 
-LOOK_S = 0.05
-"""Time between two looks for steps without advice."""
+POLL_INTERVAL_S = 0.05
+"""Interval between two checks for steps without advice."""
 
-AGAIN_S = 2.0
-"""Time after which a step is asked for again of which no worker is good
-that is there now."""
+RETRY_S = 2.0
+"""Time after which advice is requested again for a step that no present worker
+suits."""
 
-SLACK_S = 0.3
-"""How much earlier than the platform we take a ticket for expired."""
+EXPIRY_MARGIN_S = 0.3
+"""How much earlier than the platform the leader takes a ticket for expired."""
 
 
 async def advise_always(leader: states.Leader, calls: advice.Advice) -> None:
-    """Ask for one step after another, until cancelled.
+    """Request advice for one step after another until cancelled.
 
-    The service takes a machine's questions in turn, so more at a time would
-    gain nothing.
+    The service handles the requests of one machine sequentially, so concurrent
+    requests would gain nothing.
     """
     while True:
-        group = _next(leader)
+        group = _next_step(leader)
         if group is None:
-            await curio.sleep(LOOK_S)
+            await curio.sleep(POLL_INTERVAL_S)
             continue
         await _ask(leader, calls, group)
 
 
-def _next(leader: states.Leader) -> ledgers.Group | None:
-    """Give the ready step that has waited for advice longest."""
+def _next_step(leader: states.Leader) -> ledgers.Group | None:
+    """Return the ready step that has waited for advice longest."""
     known = states.known_queues(leader)
     wall_ms = clock.wall_ms()
     now_s = clock.now_s()
@@ -46,7 +46,7 @@
         for name, worker in leader.workers.items()
         if not worker.entry.draining
     }
-    held = relocating.held_groups(leader, now_s)
+    held = relocating.starved_groups(leader, now_s)
     for group in [*leader.ledger.open_groups, *held]:
         queue = placing.queue_of(group.entry, known)
         if not queue.needs_advice:
@@ -73,9 +73,9 @@
     ]
     step = group.tasks[0].name.rpartition('.')[0]
     asked_s = clock.now_s()
-    group.advised_until_s = asked_s + AGAIN_S
+    group.advised_until_s = asked_s + RETRY_S
     group.asked = frozenset(workers)
-    # What expires is of no use until the answer is there.
+    # Old tickets must not be used until the answer is there.
     group.tickets = None
     if not workers:
         return
@@ -95,5 +95,7 @@
         after_s=round(now_s - asked_s, 3),
     )
     if advised.tickets:
-        group.advised_until_s = now_s + max(0.0, advised.valid_s - SLACK_S)
+        group.advised_until_s = now_s + max(
+            0.0, advised.valid_s - EXPIRY_MARGIN_S
+        )
     await leader.due.set()
--- a/oleanderwood/leading/dispatch.py
+++ b/oleanderwood/leading/dispatch.py
@@ -1,4 +1,4 @@
-"""Sending a worker its orders, one after another."""
+"""Sending orders to a worker, one after another."""
 
 import curio
 
@@ -19,17 +19,17 @@
 from oleanderwood import verdict as verdicts
 
 REFUSED_PAUSE_S = 0.15
-"""Time after which a task that a worker refused is placed again."""
+"""Pause before a task that a worker refused is placed again."""
 
-UNHEALTHY_S = 1.0
-"""Time for which a worker that says it can't serve gets no tasks."""
+UNHEALTHY_PAUSE_S = 1.0
+"""Time for which a worker that reported itself unhealthy gets no tasks."""
 
 
 async def send_orders(leader: states.Leader, worker: workers_.Worker) -> None:
-    """Send the orders for a worker one after another, until it is gone."""
+    """Send a worker's queued orders one after another until it is gone."""
     name = worker.entry.worker
     if leader.workers.get(name) is not worker:
-        # It was gone before this began; another may be met by its id.
+        # It was gone before this task began; another worker may have its id.
         return
     orders = leader.orders[name]
     while True:
@@ -59,7 +59,7 @@
         or task.done
         or not _may_start(leader, task)
         or not workers_.accepts(worker, now_s)
-        or _is_refused(worker, task, now_s)
+        or _was_just_refused(worker, task, now_s)
     ):
         await _not_started(leader, worker, task, 'not sent')
         return
@@ -82,10 +82,10 @@
         await _start_unanswered(leader, worker, task, run, error)
         return
     except curio.CancelledError:
-        # The next leader's log shows the run; this line tells whose it is.
+        # The next leader's log shows the run, and this line who started it.
         _log_start(leader, worker, task, run, 'left', 'the term has ended')
         states.raise_fence(leader, worker)
-        await late_orders.note(leader, worker)
+        await late_orders.record_unanswered(leader, worker)
         raise
     if refusal is executors.Refusal.FENCED:
         await _start_fenced(leader, worker, task, run, fence)
@@ -93,23 +93,25 @@
         await _start_answered(leader, worker, task, run, refusal)
 
 
-def _is_refused(
+def _was_just_refused(
     worker: workers_.Worker, task: ledgers.Task, now_s: float
 ) -> bool:
-    """Say whether a worker has just had no room for as much.
+    """Return whether a worker has just refused a task as large as this one.
 
-    Several orders were decided together by the room that it told of.
+    Several orders were decided together by the free capacity it had reported.
     """
-    least = workers_.refused(worker, now_s)
+    refused_needs = workers_.refused(worker, now_s)
     needs = task.group.step.needs
-    return least is not None and model.asks_as_much(needs, least)
+    return refused_needs is not None and model.asks_as_much(
+        needs, refused_needs
+    )
 
 
 def _may_start(leader: states.Leader, task: ledgers.Task) -> bool:
-    """Say whether a leader may start a task now.
+    """Return whether the leader may start a task now.
 
-    While a later one may lead, that one may have read the end of a run which
-    we gave up unheard.
+    If a later leader may exist, it may have read the end of a run that this
+    leader marked as lost.
     """
     if task.given_up and not states.holds_lease(leader):
         return False
@@ -125,12 +127,12 @@
         if task.run is run:
             await _not_started(leader, worker, task, 'not sent')
         return
-    _doubt(task, run)
-    # Its executor may have started again meanwhile.
+    _mark_unconfirmed(task, run)
+    # Its executor may have restarted meanwhile.
     executor = lives.executor(worker.entry.worker)
-    for life in states.lives_of(leader, executor):
-        life.doubtful[workers_.RunName(task.name, run.attempt)] = None
-    await worker_loop.look(leader, worker, 0)
+    for incarnation in states.lives_of(leader, executor):
+        incarnation.doubtful[workers_.RunName(task.name, run.attempt)] = None
+    await worker_loop.renew_once(leader, worker, 0)
 
 
 async def _start_answered(leader, worker, task, run, refusal) -> None:
@@ -144,12 +146,14 @@
                 await worker_loop.stop_run(leader, task)
         if isolation.is_on_probation(task):
             wait_s = isolation.probation_s(task)
-            await curio.spawn(_look_later, leader, worker, wait_s, daemon=True)
+            await curio.spawn(
+                _renew_later, leader, worker, wait_s, daemon=True
+            )
         return
     _log_start(leader, worker, task, run, 'refused', refusal.value)
     if refusal is executors.Refusal.REPLACED:
         await worker_loop.note_replaced(leader, worker)
-        _doubt(task, run)
+        _mark_unconfirmed(task, run)
         return
     if refusal is executors.Refusal.NO_TICKET:
         task.group.advised_until_s = 0.0
@@ -157,49 +161,50 @@
         needs = task.group.step.needs
         workers_.note_no_room(worker, needs, clock.now_s())
     if refusal is executors.Refusal.UNHEALTHY:
-        worker.unhealthy_until_s = clock.now_s() + UNHEALTHY_S
+        worker.unhealthy_until_s = clock.now_s() + UNHEALTHY_PAUSE_S
     if task.run is run:
         await _not_started(leader, worker, task, refusal.value)
 
 
 async def _start_fenced(leader, worker, task, run, fence) -> None:
-    """Send a start again that a later call of ours has overtaken."""
+    """Repeat a start that a later call of this leader has overtaken."""
     why = executors.Refusal.FENCED.value
     _log_start(leader, worker, task, run, 'refused', why)
     if await worker_loop.note_fenced(leader, worker, fence):
         await _send_start(leader, worker, task, run)
     else:
-        _doubt(task, run)
+        _mark_unconfirmed(task, run)
 
 
-def _doubt(task: ledgers.Task, run: ledgers.Run) -> None:
-    """Let a start be in doubt: its worker counts on, for now.
+def _mark_unconfirmed(task: ledgers.Task, run: ledgers.Run) -> None:
+    """Mark a start as unconfirmed; its run still counts on its worker.
 
-    It is gone only once our mark is in force.
+    The worker can be marked as gone only while the leader's lease is in force.
     """
     if task.run is run and run.phase is ledgers.RunPhase.ORDERED:
         ledgers.set_phase(run, ledgers.RunPhase.DOUBTFUL, clock.now_s())
 
 
-async def _look_later(
+async def _renew_later(
     leader: states.Leader, worker: workers_.Worker, after_s: float
 ) -> None:
-    """Ask a worker once a probation there should be over.
+    """Renew a worker once a probation run there should be over.
 
-    An idle one says nothing for two seconds otherwise, while others wait.
+    Otherwise an idle worker reports nothing for two seconds, while other tasks
+    wait.
     """
     await curio.sleep(after_s)
     if leader.deposed:
         return
     try:
-        await worker_loop.look(leader, worker, 0)
+        await worker_loop.renew_once(leader, worker, 0)
     except Exception as error:
         event_log.emit('leader', 'fault', why=repr(error))
         await states.depose(leader, f'a fault: {error!r}')
 
 
 async def _not_started(leader, worker, task, why) -> None:
-    """Let a task wait again whose start has surely not run."""
+    """Return a task to the queue after a start that certainly did not run."""
     task.not_before_s = clock.now_s() + REFUSED_PAUSE_S
     workers_.end_run(leader.ledger, worker, task, clock.now_s())
     await leader.due.set(worker.entry.service)
@@ -256,7 +261,7 @@
         return
     known.run.stop_answered_s = clock.now_s()
     if leader.orders[worker.entry.worker].empty():
-        await worker_loop.look(leader, worker, 0)
+        await worker_loop.renew_once(leader, worker, 0)
 
 
 async def _send_pace(leader, worker, task, percent) -> None:
@@ -278,7 +283,7 @@
             await _send_pace(leader, worker, task, percent)
         return
     except executors.Replaced as error:
-        # The next renewal tells of another worker at the address.
+        # The next renewal finds the other worker at the address.
         event_log.emit('run', 'pace-failed', task=task.name, why=str(error))
         return
     except errors.CallFailed as error:
--- a/oleanderwood/leading/fleet_loop.py
+++ b/oleanderwood/leading/fleet_loop.py
@@ -1,4 +1,4 @@
-"""The leader's orders to machines: waves of maintenance."""
+"""The leader's maintenance orders to machines, by waves."""
 
 import dataclasses
 
@@ -24,24 +24,23 @@
 from oleanderwood.pools import workers as workers_
 from oleanderwood import server_metrics
 
-PASS_S = 0.1
-"""Time between two passes over waves."""
+PASS_INTERVAL_S = 0.1
+"""Interval between two passes over the waves."""
 
-READ_S = 0.3
-"""Time between two readings of the list of machines while it is needed."""
-
-REFUSED_S = 0.5
-"""Time after which a machine that refused an order is tried again."""
+READ_INTERVAL_S = 0.3
+"""Interval between two readings of the machine list."""
 
+REFUSED_PAUSE_S = 0.5
+"""Pause before a machine that refused an order is ordered again."""
 
 WAVES_PREFIX = 'ow/waves/'
 
 
-class Kept(msgspec.Struct, frozen=True):
-    """What is kept of a wave.
+class StoredWave(msgspec.Struct, frozen=True):
+    """The state of a wave that is persisted for later leaders.
 
     :ivar begun: machines whose maintenance has begun
-    :ivar seen_wall_ms: when the wave was first seen, since 1970
+    :ivar seen_wall_ms: when the wave was first seen, in ms since 1970
     """
 
     begun: list[str]
@@ -49,20 +48,20 @@
 
 
 async def manage_always(leader: states.Leader) -> None:
-    """Drive waves and learn of dead machines, until cancelled."""
+    """Advance waves and detect dead machines until cancelled."""
     while True:
-        await curio.sleep(PASS_S)
+        await curio.sleep(PASS_INTERVAL_S)
         if not states.may_act(leader):
             continue
-        if clock.now_s() - leader.fleet.machines_asked_s >= READ_S:
-            await pool_loop.read(leader)
+        if clock.now_s() - leader.fleet.machines_asked_s >= READ_INTERVAL_S:
+            await pool_loop.read_machines(leader)
         for progress in list(leader.fleet.waves.values()):
             if not progress.completed:
-                await _drive(leader, progress)
+                await _advance(leader, progress)
         await pool_loop.balance(leader)
 
 
-def _by_machine(leader: states.Leader) -> dict[str, workers_.Worker]:
+def _workers_by_machine(leader: states.Leader) -> dict[str, workers_.Worker]:
     found = {}
     for name, machine in leader.fleet.machines.items():
         worker = states.worker_of(leader, machine.worker)
@@ -71,15 +70,15 @@
     return found
 
 
-async def _drive(leader: states.Leader, progress: rolling.Progress) -> None:
+async def _advance(leader: states.Leader, progress: rolling.Progress) -> None:
     now_s = clock.now_s()
     settings = leader.server.settings
     if (
-        now_s - leader.fleet.machines_read_s > 2 * READ_S
+        now_s - leader.fleet.machines_read_s > 2 * READ_INTERVAL_S
         or not leader.fleet.machines
     ):
         return
-    by_machine = _by_machine(leader)
+    by_machine = _workers_by_machine(leader)
     decision = rolling.decide(
         progress,
         leader.fleet.machines,
@@ -87,7 +86,7 @@
         settings.maintenance_s,
         now_s,
         _bounds(leader),
-        machine_turns.perhaps_down(leader),
+        machine_turns.possibly_down(leader),
     )
     progress.closed = decision.close
     if decision.waits != progress.waits:
@@ -106,7 +105,9 @@
     if decision.relocate is not None and not decision.order:
         await _relocate(leader, decision.relocate)
     order = [
-        name for name in decision.order if machine_turns.is_ours(leader, name)
+        name
+        for name in decision.order
+        if machine_turns.may_order(leader, name)
     ][: machine_turns.allowance(leader)]
     if order and not await machine_turns.announce(
         leader, order, maintenance=True
@@ -116,18 +117,19 @@
     for name in order:
         await _maintain(leader, progress, name, by_machine.get(name))
     if order:
-        # What went down is told by the list: a machine that was done
-        # before, by an earlier leader's order, stays up.
-        await pool_loop.read(leader)
+        # The list shows which machines went down: one that was maintained
+        # already, by an earlier leader's order, stays up.
+        await pool_loop.read_machines(leader)
         await _write_begun(leader, progress)
     await _write_status(leader, progress, decision.completed)
 
 
 async def _relocate(leader: states.Leader, task: ledgers.Task) -> None:
-    """Let a long-running task start elsewhere, once there is room for it.
+    """Stop a long-running task once another worker has free capacity for it.
 
-    Stopped without that, it started again where it had been: in a wave of 116
-    machines one task was stopped each five seconds, and its machine was late.
+    Without this check the task was started again on the same machine: in a
+    wave of 116 machines one task was stopped every five seconds, and its
+    machine's maintenance was late.
     """
     home = leader.workers.get(task.run.worker)
     if home is None:
@@ -149,7 +151,7 @@
 
 
 def _bounds(leader: states.Leader) -> rolling.Bounds:
-    """Give what operators allow of maintenance now."""
+    """Return the operators' current limits on maintenance."""
     policy = leader.policy.policy
     wall_s = clock.wall_ms() / 1000
     quiet = any(
@@ -174,7 +176,7 @@
         return
     now_s = clock.now_s()
     if worker is not None and not disruption_budget.may_end_all(worker, now_s):
-        # An order of this pass has taken the allowance.
+        # An earlier order of this pass has used up the disruption budget.
         return
     wave = progress.wave.wave
     ordered = rolling.Ordered(leader.fleet.machines[name].worker, now_s)
@@ -187,7 +189,7 @@
         )
     except errors.CallFailed as error:
         event_log.emit('wave', 'doubtful', machine=name, why=error.reason)
-        progress.refused_until_s[name] = clock.now_s() + REFUSED_S
+        progress.refused_until_s[name] = clock.now_s() + REFUSED_PAUSE_S
         return
     server_metrics.MACHINE_ORDERS.labels('maintain', outcome.value).inc()
     event_log.emit(
@@ -204,7 +206,7 @@
         progress.down[name] = dataclasses.replace(ordered, taken=True)
         return
     del progress.down[name]
-    progress.refused_until_s[name] = clock.now_s() + REFUSED_S
+    progress.refused_until_s[name] = clock.now_s() + REFUSED_PAUSE_S
     if outcome in (
         machine_calls.Outcome.NOT_OF_WAVE,
         machine_calls.Outcome.INVALID,
@@ -215,8 +217,8 @@
 async def _write_status(
     leader: states.Leader, progress: rolling.Progress, completed: bool
 ) -> None:
-    word = 'completed' if completed else 'running'
-    if progress.status_written == word:
+    status = 'completed' if completed else 'running'
+    if progress.status_written == status:
         return
     key = f'{operator.WAVE_STATUS_PREFIX}{progress.wave.wave}'
     value = operator.encode_wave_status(completed)
@@ -224,28 +226,28 @@
         leader, {key: value}, 'wave', 'status-not-written'
     ):
         return
-    progress.status_written = word
-    event_log.emit('wave', word, wave=progress.wave.wave)
+    progress.status_written = status
+    event_log.emit('wave', status, wave=progress.wave.wave)
     progress.completed = completed
 
 
 async def _write_begun(
     leader: states.Leader, progress: rolling.Progress
 ) -> None:
-    """Tell a later leader what has begun, and since when the wave is known.
+    """Persist which machines have begun, and since when the wave is known.
 
-    What isn't written costs that leader an order that changes nothing.
+    If the write is lost, a later leader sends an order that changes nothing.
     """
     key = f'{WAVES_PREFIX}{progress.wave.wave}'
     age_s = clock.now_s() - progress.seen_s
-    kept = Kept(sorted(progress.begun), clock.wall_ms() - age_s * 1000)
-    values = {key: msgspec.json.encode(kept)}
+    stored = StoredWave(sorted(progress.begun), clock.wall_ms() - age_s * 1000)
+    values = {key: msgspec.json.encode(stored)}
     await fenced_writes.try_write(leader, values, 'wave', 'begun-not-written')
 
 
 def restore(progress: rolling.Progress, value: bytes) -> None:
-    """Bring a wave to what an earlier leader wrote of it."""
-    kept = msgspec.json.decode(value, type=Kept)
-    progress.begun.update(kept.begun)
-    age_s = max(0.0, (clock.wall_ms() - kept.seen_wall_ms) / 1000)
+    """Restore a wave's state as an earlier leader persisted it."""
+    stored = msgspec.json.decode(value, type=StoredWave)
+    progress.begun.update(stored.begun)
+    age_s = max(0.0, (clock.wall_ms() - stored.seen_wall_ms) / 1000)
     progress.seen_s = clock.now_s() - age_s
--- a/oleanderwood/leading/late_orders.py
+++ b/oleanderwood/leading/late_orders.py
@@ -1,8 +1,9 @@
-"""Keeping late orders from the next lives of executors.
+"""Protection of restarted executors against late orders.
 
-The leader notes executors that left an order unanswered, and tells two other
-servers. All three ask them for as long as the order may be carried out,
-whoever leads by then: a leader may be suspended, cut off, or dead.
+The leader records executors that left an order unanswered, and notifies two
+other servers. All three probe these executors with a higher fence for as long
+as the order may be carried out, whoever leads by then: a leader may be
+suspended, cut off, or dead.
 """
 
 import curio
@@ -24,26 +25,29 @@
 
 PATH = '/late-orders'
 
-ASK_TIMEOUT_S = 0.1
-"""Longest wait for an executor's answer; others are asked for meanwhile."""
+PROBE_TIMEOUT_S = 0.1
+"""Timeout of a probe; other executors are probed meanwhile."""
 
-ASK_PAUSE_S = 0.03
-"""Time between two questions: how long a next life goes without having seen a
-fence, if none is lost."""
+PROBE_INTERVAL_S = 0.03
+"""Interval between two probes of an executor. If no probe is lost, this is how
+long its next incarnation runs without having seen a fence."""
 
-TOLD = 2
-"""Other servers that ask as well."""
+PEER_COUNT = 2
+"""Number of other servers that probe as well."""
 
-TELL_TIMEOUT_S = 0.3
-"""Longest wait for one of them to take the news."""
+NOTIFY_TIMEOUT_S = 0.3
+"""Timeout of notifying one of these servers."""
 
-ENDLESS_S = 1e9
+IDLE_WAIT_S = 1e9
 
 
-async def note(leader: states.Leader, worker: workers_.Worker) -> None:
-    """Note that an order to a worker was left unanswered.
+async def record_unanswered(
+    leader: states.Leader, worker: workers_.Worker
+) -> None:
+    """Record that an order to a worker got no answer.
 
-    Only where lives share an id: elsewhere a next life refuses it by that.
+    Needed only where incarnations share an id: elsewhere the next incarnation
+    refuses the order because of its own id.
     """
     if not lives.tells_birth(worker.entry.worker):
         return
@@ -55,13 +59,13 @@
     server = leader.server
     server.unanswered.untold[order.executor] = order
     await server.unanswered_untold.set()
-    await take(server, [order])
+    await start_probing(server, [order])
 
 
-async def take(
+async def start_probing(
     server: states.Server, orders: list[late_orders.LateOrder]
 ) -> None:
-    """Ask some executors from now on."""
+    """Start probing some executors."""
     for order in orders:
         late_orders.take(server.unanswered, order, clock.now_s())
         event_log.emit(
@@ -76,33 +80,33 @@
 
 
 async def take_told(server: states.Server, body: bytes) -> None:
-    """Take in what another server tells.
+    """Start probing the executors that another server reports.
 
-    :raises msgspec.MsgspecError: it can't be read
+    :raises msgspec.MsgspecError: the body cannot be decoded
     """
     orders = msgspec.json.decode(body, type=list[late_orders.LateOrder])
-    await take(server, orders)
+    await start_probing(server, orders)
 
 
 async def ask_always(server: states.Server) -> None:
-    """Ask executors at which an order may be carried out late."""
-    calls = executors.Executors(ASK_TIMEOUT_S)
+    """Probe executors at which an order may be carried out late."""
+    calls = executors.Executors(PROBE_TIMEOUT_S)
     while True:
         orders = late_orders.due(server.unanswered, clock.now_s())
         if not orders:
-            await server.unanswered_news.wait(ENDLESS_S)
+            await server.unanswered_news.wait(IDLE_WAIT_S)
             continue
         for order in orders:
-            await curio.spawn(_ask, server, calls, order, daemon=True)
-        await curio.sleep(ASK_PAUSE_S)
+            await curio.spawn(_probe, server, calls, order, daemon=True)
+        await curio.sleep(PROBE_INTERVAL_S)
 
 
-async def _ask(
+async def _probe(
     server: states.Server,
     calls: executors.Executors,
     order: late_orders.LateOrder,
 ) -> None:
-    """Let an executor see a fence; what it answers is left to the leader."""
+    """Send an executor a fence; its report is left to the leader."""
     entry = reports.Entry(
         ids.VmId(order.executor), ids.ServiceId(''), order.address
     )
@@ -112,15 +116,15 @@
         late_orders.drop(server.unanswered, order.executor)
         event_log.emit('late-order', 'replaced', executor=order.executor)
     except (executors.Fenced, errors.CallFailed):
-        # It has seen a higher fence, or is asked again at once.
+        # It has seen a higher fence, or is probed again at once.
         return
 
 
 async def tell_always(server: states.Server) -> None:
-    """Tell other servers whom to ask, the largest first."""
-    kept = connections.Connections()
+    """Notify other servers of executors to probe, largest servers first."""
+    peer_connections = connections.Connections()
     while True:
-        await server.unanswered_untold.wait(ENDLESS_S)
+        await server.unanswered_untold.wait(IDLE_WAIT_S)
         orders = late_orders.take_untold(server.unanswered)
         if not orders:
             continue
@@ -128,16 +132,25 @@
         others = roles_.peers(server.roles, server.process)
         others.sort(key=lambda row: (-row.cores, row.name))
         async with curio.TaskGroup(wait=all) as group:
-            for other in others[:TOLD]:
-                await group.spawn(_tell, kept, other.address, body)
+            for other in others[:PEER_COUNT]:
+                await group.spawn(
+                    _notify, peer_connections, other.address, body
+                )
 
 
-async def _tell(
-    kept: connections.Connections, address: ids.Address, body: bytes
+async def _notify(
+    peer_connections: connections.Connections,
+    address: ids.Address,
+    body: bytes,
 ) -> None:
     try:
         await transport.call(
-            kept, address, 'POST', PATH, body, timeout_s=TELL_TIMEOUT_S
+            peer_connections,
+            address,
+            'POST',
+            PATH,
+            body,
+            timeout_s=NOTIFY_TIMEOUT_S,
         )
     except errors.CallFailed as error:
         event_log.emit(
--- a/oleanderwood/leading/losses.py
+++ b/oleanderwood/leading/losses.py
@@ -1,4 +1,4 @@
-"""What workers that are gone took along, and who is to blame for it."""
+"""Runs lost with workers that are gone, and the tasks blamed for it."""
 
 from oleanderwood import clock
 from oleanderwood import event_log
@@ -9,27 +9,29 @@
 from oleanderwood.pools import workers as workers_
 from oleanderwood import server_metrics
 
-LATELY_S = 10.0
-"""Time for which workers that are gone are remembered: those that went
-together are found to be gone one after another, the last as leases end."""
+RECENT_S = 10.0
+"""Time for which workers that are gone are remembered: those that failed
+together are found to be gone one after another, the last ones as their leases
+end."""
 
 
-def note(
+def record(
     leader: states.Leader, worker: workers_.Worker, planned: bool = False
 ) -> list[workers_.Loss]:
-    """Note what a worker took along that is gone, and who is to blame.
+    """Record the runs lost with a worker, and blame tasks for its crash.
 
-    A worker that crashes lists no ends: what isn't noted here is started again
-    and again, on one worker after the other.
+    A worker that crashes reports no ends: unless its tasks are blamed here, a
+    task that crashes its workers is started on one worker after another.
 
-    :param planned: an order ended it, of ours or an earlier leader: nobody is
+    :param planned: an order of this or an earlier leader ended the worker, so
+        that no task is to blame
     """
     now_s = clock.now_s()
     losses = workers_.note_losses(worker, now_s)
-    # One that is about to be ordered may crash before, as may one that drains.
+    # A worker that drains, or is about to be ordered down, may crash before.
     if planned or (worker.entry.draining and blame.is_settled(losses)):
         return losses
-    common = _went_with_others(leader, worker, now_s)
+    common = _is_correlated(leader, worker, now_s)
     for task in blame.put_down(leader.ledger, losses, common, now_s):
         entry = task.group.entry
         server_metrics.SUSPICIONS.labels(entry.state.value).inc()
@@ -45,32 +47,35 @@
     return losses
 
 
-def _went_with_others(
+def _is_correlated(
     leader: states.Leader, worker: workers_.Worker, now_s: float
 ) -> bool:
-    """Say whether a worker went as others did, known to be gone or silent."""
+    """Return whether a worker failed together with others.
+
+    Others count if they are gone, or silent for now.
+    """
     gone_s = now_s if worker.silent_since_s is None else worker.silent_since_s
-    lately = {
+    recent = {
         name: at_s
         for name, at_s in leader.lately_gone.items()
-        if at_s > now_s - LATELY_S
+        if at_s > now_s - RECENT_S
     }
-    others = lately | {
+    others = recent | {
         other.entry.worker: other.silent_since_s
         for other in leader.workers.values()
         if other.silent_since_s is not None
     }
     others.pop(worker.entry.worker, None)
-    leader.lately_gone = lately | {worker.entry.worker: gone_s}
+    leader.lately_gone = recent | {worker.entry.worker: gone_s}
     return blame.is_common(gone_s, others.values())
 
 
-def told(losses: list[workers_.Loss]) -> dict[str, dict[str, list[int]]]:
-    """Give what the log tells of runs that a worker took along.
+def log_fields(losses: list[workers_.Loss]) -> dict[str, dict[str, list[int]]]:
+    """Return the log fields on runs lost with a worker.
 
-    By task: how old the run was in milliseconds, -1 if that isn't known, and
-    how many runs of the task were lost so. The two tell a task that crashes
-    its workers from those that were beside it.
+    By task: the run's age in milliseconds, -1 if it is not known, and how many
+    runs of the task were lost this way. Together they distinguish a task that
+    crashes its workers from tasks that ran beside it.
     """
     return {
         'lost': {row.task.name: [_age_ms(row), row.losses] for row in losses}
--- a/oleanderwood/leading/pool_loop.py
+++ b/oleanderwood/leading/pool_loop.py
@@ -1,4 +1,4 @@
-"""The leader's list of machines, and their moves between pools."""
+"""The leader's list of machines, and moves of machines between pools."""
 
 import collections
 
@@ -33,39 +33,42 @@
 from oleanderwood import server_metrics
 
 LIST_LAG_S = 1.0
-"""A worker's entry may come this much before the list shows it."""
+"""How long a worker's entry may precede its appearance in the machine
+list."""
 
-SHORTAGE_S = 1.0
-"""Time between two log lines on pools that lack machines."""
+SHORTAGE_LOG_INTERVAL_S = 1.0
+"""Interval between two log lines on pools that lack machines."""
 
-INVALID_S = 60.0
-"""Time for which a machine that can't be moved as asked stays."""
+INVALID_PAUSE_S = 60.0
+"""Time for which a machine is not moved after the platform rejected its move
+as invalid."""
 
-MOVES_AT_ONCE = 12
-"""Moves that are under way at the same time, fewer than the connections that
-the platform's interface gets: a turn of demand asks for a hundred at once, and
-one that waits for a connection would be sent long after it was announced."""
+MAX_CONCURRENT_MOVES = 12
+"""Moves in flight at the same time, fewer than the connections to the
+platform's interface: a burst of demand needs a hundred moves at once, and one
+that waits for a connection would be sent long after it was announced."""
 
-ORDERED = (fleet.State.MOVING, fleet.State.MAINTAINED)
-"""States of machines that follow an order; other ends are crashes."""
+ORDERED_STATES = (fleet.State.MOVING, fleet.State.MAINTAINED)
+"""States of machines that were ordered down; other machines that go down have
+crashed."""
 
-FRESH_S = 1.0
-"""Older readings of the list aren't decided from."""
+MAX_LIST_AGE_S = 1.0
+"""Age of the machine list beyond which no decisions are based on it."""
 
 
-async def read(leader: states.Leader) -> None:
-    """Read the list; workers that it shows as ended are gone."""
+async def read_machines(leader: states.Leader) -> None:
+    """Read the machine list, and mark workers that it proves to be gone."""
     sent_s = clock.now_s()
     leader.fleet.machines_asked_s = sent_s
     try:
         machines = await machine_calls.read_all(leader.machine_calls)
     except errors.CallFailed as error:
-        # The list grows old, and nothing is decided from an old one.
+        # The list becomes stale, and a stale list is not used.
         event_log.emit('fleet', 'not-read', why=error.reason)
         return
     leader.fleet.machines_read_s = sent_s
     leader.fleet.machines = {machine.machine: machine for machine in machines}
-    await _lose_unlisted(leader, sent_s)
+    await _drop_unlisted_workers(leader, sent_s)
     for progress in leader.fleet.waves.values():
         rolling.note_returns(
             progress,
@@ -75,15 +78,15 @@
         )
 
 
-async def _lose_unlisted(leader: states.Leader, sent_s: float) -> None:
-    """Give up the workers that the list proves to be gone.
+async def _drop_unlisted_workers(leader: states.Leader, sent_s: float) -> None:
+    """Mark the workers that the machine list proves to be gone.
 
-    A machine that it shows with another worker, or not up, is proof. The list
-    comes in pages, between which a machine may pass unseen, so one that isn't
-    there at all has to be missing twice.
+    A machine listed with another worker, or as not up, is proof. The list is
+    read in pages, and a machine may be missed between two of them, so a
+    machine that is not listed at all has to be missing twice.
     """
     machines = leader.fleet.machines
-    living = {
+    live_executors = {
         machine.worker
         for machine in machines.values()
         if machine.state is fleet.State.UP
@@ -93,18 +96,18 @@
         name = worker.entry.worker
         silent = worker.silent_since_s
         executor = lives.executor(name)
-        if worker.met_s > sent_s - LIST_LAG_S or executor in living:
+        if worker.met_s > sent_s - LIST_LAG_S or executor in live_executors:
             continue
         if silent is not None and silent > sent_s:
             continue
         if leader.reported_s.get(name, 0.0) > sent_s:
-            # It answered a call sent after the list was asked for.
+            # It answered a call sent after the list was requested.
             continue
         missing.add(name)
         listed = worker.entry.machine in machines
         if listed or name in leader.fleet.missing:
             machine = machines.get(worker.entry.machine)
-            planned = machine is not None and machine.state in ORDERED
+            planned = machine is not None and machine.state in ORDERED_STATES
             await worker_loop.lost(
                 leader, worker, 'its machine is down', planned
             )
@@ -112,12 +115,15 @@
 
 
 async def balance(leader: states.Leader) -> None:
-    """Move machines ahead of the pools' demand."""
+    """Move machines between pools ahead of the pools' demand."""
     now_s = clock.now_s()
     settings = leader.server.settings
     configuration = leader.server.configuration
-    if now_s - leader.fleet.machines_read_s > FRESH_S or configuration is None:
-        await _empty(leader, [])
+    if (
+        now_s - leader.fleet.machines_read_s > MAX_LIST_AGE_S
+        or configuration is None
+    ):
+        await _set_emptying(leader, [])
         return
     leader.fleet.turns.pools = frozenset(
         queue.service for queue in configuration.queues
@@ -136,21 +142,21 @@
     moves = decision.moves[: machine_turns.allowance(leader)]
     leader.fleet.needs = decision.needs
     _log_shortage(leader, views, decision.needs, now_s)
-    await _empty(leader, decision.emptied)
+    await _set_emptying(leader, decision.emptied)
     if not moves:
         return
     names = [move.machine for move in moves]
     if not await machine_turns.announce(leader, names):
         return
     leader.fleet.orders_left -= len(moves)
-    await _send(leader, moves)
-    await read(leader)
+    await _send_moves(leader, moves)
+    await read_machines(leader)
 
 
-async def _empty(
+async def _set_emptying(
     leader: states.Leader, emptied: list[draining.Emptied]
 ) -> None:
-    """Close the machines that are to be emptied, and open all others."""
+    """Close workers whose machines are to be emptied; reopen all others."""
     wanted = {row.machine: row for row in emptied}
     for worker in leader.workers.values():
         row = wanted.get(worker.entry.machine)
@@ -173,8 +179,8 @@
     wanted: dict[ids.ServiceId, rebalancing.Need],
     now_s: float,
 ) -> None:
-    """Say once a second which pools have fewer machines than they need."""
-    if now_s - leader.fleet.shortage_told_s < SHORTAGE_S:
+    """Log the pools that have fewer machines than needed, once a second."""
+    if now_s - leader.fleet.shortage_told_s < SHORTAGE_LOG_INTERVAL_S:
         return
     rows = {
         view.service: {
@@ -222,20 +228,21 @@
     for service in sorted(leader.fleet.crowded.intersection(views)):
         views[service].lacks_kind = True
     leader.fleet.crowded.clear()
-    promised = policies.min_up(leader.policy.policy)
+    min_up = policies.min_up(leader.policy.policy)
     _note_first_sizes(leader, views)
     for service, view in views.items():
-        view.min_up = promised.get(service, 0)
+        view.min_up = min_up.get(service, 0)
     return list(views.values()), standby
 
 
 def _note_first_sizes(
     leader: states.Leader, views: dict[ids.ServiceId, rebalancing.PoolView]
 ) -> None:
-    """Note how many machines the pools have, until the first order moves one.
+    """Record how many machines each pool has before the first move.
 
-    Machines enter the list one after another. Later leaders learn the sizes
-    from what was announced; without that, an equal part counts.
+    Machines enter the list one after another, so the largest count is kept.
+    Later leaders read the sizes from the announcements; without these, each
+    pool counts as having an equal part of the fleet.
     """
     sizes = leader.fleet.first_sizes
     machines = leader.fleet.machines
@@ -247,12 +254,18 @@
         )
         cores = [member.cores for member in view.members]
         if cores:
-            each = sum(cores) / len(cores)
-            leader.fleet.turns.pool_cores[service] = view.first_size * each
+            mean_cores = sum(cores) / len(cores)
+            leader.fleet.turns.pool_cores[service] = (
+                view.first_size * mean_cores
+            )
 
 
 def _fixed(leader: states.Leader, now_s: float) -> set[str]:
-    """Give the machines that must not move: a wave is about to take them."""
+    """Return the machines that must not move.
+
+    Their move was refused, an earlier leader ordered them a moment ago, or a
+    wave is about to take them.
+    """
     fixed = {
         name
         for name, until_s in leader.fleet.moves_refused.items()
@@ -261,7 +274,7 @@
     fixed.update(
         name
         for name in leader.fleet.turn_after_s
-        if not machine_turns.is_ours(leader, name)
+        if not machine_turns.may_order(leader, name)
     )
     for progress in leader.fleet.waves.values():
         if not progress.completed:
@@ -303,13 +316,13 @@
         for task in worker.runs.values():
             _add_cores(view, task.group, 1)
             _note_priority(view, task.group, known)
-    for service, groups in relocating.held_in(leader, now_s).items():
+    for service, groups in relocating.starved_by_pool(leader, now_s).items():
         if service in views:
             for group in groups:
-                _note_lack(views[service], group.step)
+                _record_lack(views[service], group.step)
     quotas = schedule.quotas_of(leader, schedule.unresolved(leader), now_s)
     wall_ms = clock.wall_ms()
-    idle: dict[ids.ServiceId, list[placing.Room]] = {}
+    idle_capacity: dict[ids.ServiceId, list[placing.Room]] = {}
     for group in leader.ledger.open_groups:
         if not group.waiting or not ledgers.is_ready(group, wall_ms):
             continue
@@ -319,18 +332,20 @@
             continue
         allowed = quotas_.claim(quotas, group)
         if not allowed:
-            # Machines wouldn't let it start: its team or tenant has no more.
+            # More machines would not help: its team's quota or its tenant's
+            # limit is used up.
             continue
-        if _may_lack(view, group):
-            if view.service not in idle:
-                idle[view.service] = shortage.idle_rooms(
+        if _may_lack_machines(view, group):
+            if view.service not in idle_capacity:
+                idle_capacity[view.service] = shortage.idle_rooms(
                     row.worker for row in view.members if row.worker
                 )
-            rooms = idle[view.service]
-            if _lacks_kind(leader, group, view, rooms):
-                _note_lack(view, group.step)
+            free_capacity = idle_capacity[view.service]
+            if _lacks_kind(leader, group, view, free_capacity):
+                _record_lack(view, group.step)
         if placing.hopeless(group.entry, queue, leader.lengths, now_s):
-            # Its pool gets a machine on which it can run, but none more.
+            # Its pool gets a machine on which it can run, but no more than
+            # that.
             continue
         if group.step.lasting:
             _add_cores(view, group, allowed)
@@ -338,13 +353,15 @@
                 workers = [row.worker for row in view.members if row.worker]
                 view.lacks_kind = not placing.has_room(group, workers, now_s)
         elif not group.step.uses_leftover:
-            row = _waiting(group, allowed, queue, leader.lengths, now_s)
+            row = _waiting_work(group, allowed, queue, leader.lengths, now_s)
             view.waiting.append(row)
             _note_priority(view, group, known)
 
 
-def _may_lack(view: rebalancing.PoolView, group: ledgers.Group) -> bool:
-    """Say whether a step has to be held against its pool's machines."""
+def _may_lack_machines(
+    view: rebalancing.PoolView, group: ledgers.Group
+) -> bool:
+    """Return whether a step has to be compared with its pool's machines."""
     if group.step.label:
         return group.step.label not in view.lacks_labels
     if view.lacks_kind:
@@ -352,7 +369,7 @@
     return not view.members or shortage.is_particular(group)
 
 
-def _note_lack(view: rebalancing.PoolView, step: model.Step) -> None:
+def _record_lack(view: rebalancing.PoolView, step: model.Step) -> None:
     if step.label:
         view.lacks_labels.add(step.label)
     else:
@@ -363,13 +380,13 @@
     leader: states.Leader,
     group: ledgers.Group,
     view: rebalancing.PoolView,
-    rooms: list[placing.Room],
+    free_capacity: list[placing.Room],
 ) -> bool:
-    """Say whether a step needs other machines than those of its pool.
+    """Return whether a step needs other machines than those of its pool.
 
-    :param rooms: of the pool's workers, were all idle
+    :param free_capacity: free capacity of the pool's workers if all were idle
     """
-    if not shortage.fits_nowhere(group, rooms):
+    if not shortage.fits_nowhere(group, free_capacity):
         return False
     machines = leader.fleet.machines.values()
     elsewhere = [row for row in machines if row.pool != view.service]
@@ -378,7 +395,8 @@
         for row in elsewhere
     ):
         return False
-    # A gang that all machines together can't hold would draw them for good.
+    # A gang that does not fit on all machines together would otherwise attract
+    # machines forever.
     return not group.step.gang or len(group.tasks) <= sum(
         shortage.could_hold(group.step, row.labels, row.capacity)
         for row in machines
@@ -395,16 +413,16 @@
         view.priority = min(view.priority, queue.priority)
 
 
-def _waiting(
+def _waiting_work(
     group: ledgers.Group,
     tasks: int,
     queue: queues.Queue,
     known: lengths.Lengths,
     now_s: float,
 ) -> backlog.Waiting:
-    """Say what waits of a step, and by when it has to end.
+    """Return the work that waits in a step, and the time left for it.
 
-    :param tasks: of those that wait, how many may run
+    :param tasks: number of waiting tasks that may run
     """
     length_s = lengths.of_job(known, group.entry)[group.number]
     cores = tasks * group.step.needs.cpu_millicores / 1000
@@ -423,23 +441,28 @@
         view.held_cores += cores
 
 
-async def _send(leader: states.Leader, moves: list[rebalancing.Move]) -> None:
-    """Send announced moves, some at a time; late ones are decided anew."""
+async def _send_moves(
+    leader: states.Leader, moves: list[rebalancing.Move]
+) -> None:
+    """Send announced moves, a limited number at a time.
+
+    Those that would be sent too late are dropped and decided again.
+    """
     left = collections.deque(moves)
-    late_s = clock.now_s() + machine_turns.SENT_MS / 1000
+    late_s = clock.now_s() + machine_turns.SEND_WINDOW_MS / 1000
 
     async def send() -> None:
         while left and clock.now_s() < late_s:
-            await _move(leader, left.popleft())
+            await _send_move(leader, left.popleft())
 
     async with curio.TaskGroup() as group:
-        for _ in range(min(MOVES_AT_ONCE, len(moves))):
+        for _ in range(min(MAX_CONCURRENT_MOVES, len(moves))):
             await group.spawn(send)
     if left:
         event_log.emit('fleet', 'moves-late', count=len(left))
 
 
-async def _move(leader: states.Leader, move: rebalancing.Move) -> None:
+async def _send_move(leader: states.Leader, move: rebalancing.Move) -> None:
     if not states.holds_lease(leader):
         return
     machine = leader.fleet.machines[move.machine]
@@ -471,7 +494,7 @@
     if outcome is not machine_calls.Outcome.DONE:
         pause_s = rolling.CYCLE_SLACK_S
         if outcome is machine_calls.Outcome.INVALID:
-            pause_s = INVALID_S
+            pause_s = INVALID_PAUSE_S
         leader.fleet.moves_refused[move.machine] = clock.now_s() + pause_s
         if worker is not None:
             worker.closed = False
@@ -480,7 +503,7 @@
 def note_arrival(
     leader: states.Leader, entry: ledgers.Entry, at_s: float
 ) -> None:
-    """Note what a job that has arrived asks of its pool."""
+    """Record the demand that a job that has arrived puts on its pool."""
     _note_rate(leader, entry, at_s)
     work = entry.job.work
     core_ms = sum(
@@ -503,7 +526,7 @@
 def _note_rate(
     leader: states.Leader, entry: ledgers.Entry, at_s: float
 ) -> None:
-    """Note whether a tenant sends more jobs than it may count on."""
+    """Record whether a tenant submits jobs beyond its assured rate."""
     tenant = states.known_tenants(leader).get(entry.job.tenant)
     if tenant is None:
         return
--- a/oleanderwood/leading/relocating.py
+++ b/oleanderwood/leading/relocating.py
@@ -1,4 +1,4 @@
-"""Runs that are held back by others, and where they go instead."""
+"""Relocation of runs that are starved by other runs on their worker."""
 
 from oleanderwood import event_log
 from oleanderwood import ids
@@ -9,25 +9,24 @@
 from oleanderwood.pools import placing
 from oleanderwood.pools import workers as workers_
 
-COUNTS_S = 2.5
-"""How long a step counts as held back: longer than the time between two
-reports of a worker, 1 s, and an answer that is late."""
-
+STARVED_FOR_S = 2.5
+"""Time for which a step counts as starved: longer than the interval between
+two reports of a worker, 1 s, plus the delay of a late answer."""
 
 SETTLE_S = 1.5
-"""Time until runs that left are seen where they went; before that more would
-leave for the same room."""
+"""Time until relocated runs show on their new worker; before that, more runs
+would leave for the same free capacity."""
 
-MOST_LEFT_S = 1e6
-"""What is told of a run that makes no headway at all."""
+MAX_LEFT_S = 1e6
+"""Remaining time that is logged for a run that makes no progress at all."""
 
 
-def to_leave(
+def tasks_to_move(
     leader: states.Leader, worker: workers_.Worker, now_s: float
 ) -> list[ledgers.Task]:
-    """Give the runs of a worker that leave it for a better one.
+    """Return the tasks of a worker that leave it for a better one.
 
-    Those that find none make their pool ask for another machine.
+    Those for which there is none make their pool request another machine.
     """
 
     def length_of(task: ledgers.Task) -> float:
@@ -46,7 +45,7 @@
             continue
         if group not in leader.held_back:
             _log(worker, row, 'held-back')
-        leader.held_back[group] = now_s + COUNTS_S
+        leader.held_back[group] = now_s + STARVED_FOR_S
     return leaving
 
 
@@ -56,19 +55,22 @@
     rows: list[held_back.HeldBack],
     now_s: float,
 ) -> list[ledgers.Task]:
-    """Choose the runs that leave now, and note that they do."""
+    """Choose the tasks that leave now, and record their relocation."""
     pool = worker.entry.service
     if now_s < leader.relocated_s.get(pool, 0.0) + SETTLE_S:
         return []
-    # Each of 10 runs of one task was stopped for a worker that wasn't good, as
-    # advice was asked for, and began again where it had been.
+    # Steps that wait for advice stay: otherwise 10 runs of one task were each
+    # stopped for a worker that was not suitable, as advice was being asked
+    # for, and began again where they had been.
     known = states.known_queues(leader)
     advised = [
         row
         for row in rows
         if not placing.is_unadvised(row.task.group, known, now_s)
     ]
-    leaving = held_back.to_leave(advised, _others(leader, worker), now_s)
+    leaving = held_back.to_leave(
+        advised, _other_workers(leader, worker), now_s
+    )
     for task in leaving:
         task.relocated += 1
         leader.relocated_s[pool] = now_s
@@ -85,11 +87,11 @@
         worker=worker.entry.worker,
         percent=round(run.percent, 1),
         pace=run.pace_percent,
-        left_s=round(min(row.left_s, MOST_LEFT_S), 1),
+        left_s=round(min(row.left_s, MAX_LEFT_S), 1),
     )
 
 
-def _others(
+def _other_workers(
     leader: states.Leader, worker: workers_.Worker
 ) -> list[workers_.Worker]:
     return [
@@ -101,20 +103,20 @@
     ]
 
 
-def held_groups(leader: states.Leader, now_s: float) -> list[ledgers.Group]:
-    """Give the steps whose runs wait for another machine; forget the rest."""
+def starved_groups(leader: states.Leader, now_s: float) -> list[ledgers.Group]:
+    """Return the steps with starved runs; drop those that no longer count."""
     for group, until_s in list(leader.held_back.items()):
         if until_s < now_s or not group.left or ledgers.final(group.entry):
             del leader.held_back[group]
     return list(leader.held_back)
 
 
-def held_in(
+def starved_by_pool(
     leader: states.Leader, now_s: float
 ) -> dict[ids.ServiceId, list[ledgers.Group]]:
-    """Give the same by the pools in which they run."""
+    """Return the steps with starved runs, by the pools in which they run."""
     found: dict[ids.ServiceId, list[ledgers.Group]] = {}
-    for group in held_groups(leader, now_s):
+    for group in starved_groups(leader, now_s):
         pools = {
             leader.workers[task.run.worker].entry.service: None
             for task in group.tasks
--- a/oleanderwood/leading/restarts.py
+++ b/oleanderwood/leading/restarts.py
@@ -1,4 +1,4 @@
-"""Executors that start again under their id, and what became of their runs."""
+"""Executors that restart under the same id, and what becomes of their runs."""
 
 from oleanderwood import clock
 from oleanderwood import event_log
@@ -10,69 +10,69 @@
 from oleanderwood.pools import workers as workers_
 
 
-def is_before(worker: workers_.Worker, sent_s: float) -> bool:
-    """Say whether a life is earlier than one that answers a call.
+def is_earlier(worker: workers_.Worker, sent_s: float) -> bool:
+    """Return whether an incarnation is earlier than one that answers a call.
 
     It is if it was known, and had last answered, before the call was sent: the
-    other one lived after that. Answers that cross leave it open, and the next
-    call decides.
+    other one was alive after that. If answers cross, the order stays open
+    until the next call.
     """
     return worker.met_s <= sent_s and worker.clock_at_s <= sent_s
 
 
-def succeed(
+def supersede_earlier(
     leader: states.Leader,
     worker: workers_.Worker,
     report: reports.Report,
     sent_s: float,
 ) -> list[workers_.RunName]:
-    """End the earlier lives of the executor whose life has answered.
+    """Supersede earlier incarnations of an executor by one that has answered.
 
-    Done in one go with what the report tells: between the two, tasks could
-    start elsewhere that run here.
+    The caller processes the report in the same step, without awaiting
+    anything: in between, tasks that run here could be started elsewhere.
 
-    :return: runs that the worker is to refuse
+    :return: runs that the worker has to refuse
     """
     others = states.lives_of(leader, lives.executor(worker.entry.worker))
     if len(others) < 2 or not states.holds_lease(leader):
         return []
     refused = []
-    for former in others:
-        if former is worker or not is_before(former, sent_s):
+    for previous in others:
+        if previous is worker or not is_earlier(previous, sent_s):
             continue
-        refused += _end(leader, former, worker, report)
+        refused += _supersede(leader, previous, worker, report)
     return refused
 
 
-def _end(
+def _supersede(
     leader: states.Leader,
-    former: workers_.Worker,
+    previous: workers_.Worker,
     worker: workers_.Worker,
     report: reports.Report,
 ) -> list[workers_.RunName]:
-    former.gone = True
-    runs = len(former.runs)
-    losses = losses_.note(leader, former)
+    previous.gone = True
+    runs = len(previous.runs)
+    losses = losses_.record(leader, previous)
     refused = workers_.succeed(
-        leader.ledger, former, worker, report, clock.now_s()
+        leader.ledger, previous, worker, report, clock.now_s()
     )
     event_log.emit(
         'worker',
         'restarted',
-        worker=former.entry.worker,
+        worker=previous.entry.worker,
         life=worker.entry.worker,
         runs=runs,
         moved=len(worker.runs),
         refused=len(refused),
-        **losses_.told(losses),
+        **losses_.log_fields(losses),
     )
-    forget(leader, former)
-    leader.ended_lives.append(former)
+    forget(leader, previous)
+    leader.ended_lives.append(previous)
     return refused
 
 
 def forget(leader: states.Leader, worker: workers_.Worker) -> None:
-    """Forget a life that is over."""
+    """Drop the state of an incarnation that is over."""
     name = worker.entry.worker
     executor = lives.executor(name)
     leader.workers.pop(name, None)
@@ -86,11 +86,11 @@
     leader.roster_dirty.add(worker.entry.service)
 
 
-async def settle(leader: states.Leader) -> None:
-    """Tell those that wait of lives that were found to be over."""
+async def notify_ended(leader: states.Leader) -> None:
+    """Wake the loops that wait for incarnations found to be over."""
     while leader.ended_lives:
-        former = leader.ended_lives.pop()
-        await leader.orders[former.entry.worker].put(None)
+        previous = leader.ended_lives.pop()
+        await leader.orders[previous.entry.worker].put(None)
         await leader.unrostered.set()
         await leader.unkept.set()
-        await leader.due.set(former.entry.service)
+        await leader.due.set(previous.entry.service)
--- a/oleanderwood/leading/schedule.py
+++ b/oleanderwood/leading/schedule.py
@@ -1,4 +1,4 @@
-"""The leader's passes over waiting tasks, workers and leases."""
+"""The leader's scheduling passes over waiting tasks, workers and leases."""
 
 import math
 
@@ -18,52 +18,54 @@
 from oleanderwood.pools import shares
 from oleanderwood.pools import workers as workers_
 
-PASS_GAP_S = 0.01
-"""Least time between two passes: events come in bursts."""
+MIN_PASS_GAP_S = 0.01
+"""Shortest pause between two passes, as events come in bursts."""
 
 PASS_SHARE = 0.25
-"""Part of the leader's time that passes take at most; the rest is for the
-workers' answers, which are late otherwise."""
+"""Largest fraction of the leader's time that passes take. The rest is left for
+workers' answers, which would otherwise be read late."""
 
-LONGEST_WAIT_S = 0.2
-"""A pass is made at least this often: due times and pauses end unnoticed."""
+MAX_PASS_INTERVAL_S = 0.2
+"""Longest time between two passes: due times and pauses end without an
+event."""
 
-ON_THE_WAY_S = 0.5
-"""Time from a decision until its order has arrived."""
+ORDER_DELIVERY_S = 0.5
+"""Time from a decision until its order has reached the worker."""
 
-LIMIT_TOLD_S = 1.0
-"""Time between two log lines on work that waits for a tenant's limit."""
+LIMIT_LOG_INTERVAL_S = 1.0
+"""Interval between two log lines on work that waits for a tenant's limit."""
 
-MOST_JOBS_TOLD = 20
-"""Jobs that such a line names."""
+MAX_JOBS_LOGGED = 20
+"""Largest number of jobs named in such a line."""
 
-STARTS_A_PASS = 200
-"""Starts decided at once for a pool."""
+MAX_STARTS_PER_PASS = 200
+"""Largest number of starts decided for a pool in one pass."""
 
 
 async def place_always(leader: states.Leader) -> None:
-    """Make passes until cancelled."""
+    """Run scheduling passes until cancelled."""
     all_placed_s = -math.inf
     while True:
-        await leader.due.wait(LONGEST_WAIT_S)
+        await leader.due.wait(MAX_PASS_INTERVAL_S)
         began_s = clock.now_s()
         await check_leases(leader)
         pools = leader.due.take()
-        if began_s - all_placed_s >= LONGEST_WAIT_S:
+        if began_s - all_placed_s >= MAX_PASS_INTERVAL_S:
             pools = None
         if pools is None:
             all_placed_s = began_s
         if states.may_act(leader):
             await place(leader, pools)
         took_s = clock.now_s() - began_s
-        await curio.sleep(max(PASS_GAP_S, took_s * (1 / PASS_SHARE - 1)))
+        await curio.sleep(max(MIN_PASS_GAP_S, took_s * (1 / PASS_SHARE - 1)))
 
 
 async def check_leases(leader: states.Leader) -> None:
-    """Give up the runs of silent workers whose leases have ended.
+    """Mark the runs of silent workers whose leases have ended as lost.
 
-    Only while nobody else can have led and renewed them: a former leader that
-    is confirmed without the store started runs again that its successor held.
+    Do so only while no other server can have led and renewed those leases: a
+    previous leader that was confirmed without the store started runs again
+    that its successor kept alive.
     """
     if not states.holds_lease(leader):
         return
@@ -74,7 +76,7 @@
         if now_s <= worker.lease_end_s:
             continue
         if worker.runs:
-            losses = losses_.note(leader, worker)
+            losses = losses_.record(leader, worker)
             tasks = workers_.lost(leader.ledger, worker, now_s)
             for task in tasks:
                 task.given_up = True
@@ -83,7 +85,7 @@
                 'lease-over',
                 worker=worker.entry.worker,
                 tasks=[task.name for task in tasks],
-                **losses_.told(losses),
+                **losses_.log_fields(losses),
             )
             await leader.unkept.set()
             await worker_loop.stop_ended_jobs(leader)
@@ -92,12 +94,12 @@
 
 
 def unresolved(leader: states.Leader) -> set[ids.ServiceId]:
-    """Give the pools with a worker that may run what we don't know of.
+    """Return the pools with a worker that may have runs unknown to the leader.
 
-    It was in use under an earlier term, hasn't told under this one of all
-    that runs and has ended there, and a lease of that time may not have
-    ended. What an earlier leader may have started, by the term under which
-    it was accepted, isn't started again in such a pool.
+    Such a worker was used under an earlier term, has not yet reported all its
+    runs and ends under this one, and may still hold a lease of that time.
+    Tasks that an earlier leader may have started, judged by the term under
+    which their job was accepted, are not started again in such a pool.
     """
     return {
         worker.entry.service
@@ -107,10 +109,11 @@
 
 
 def _may_hold(leader: states.Leader, worker: workers_.Worker) -> bool:
-    """Say whether a worker may have a run or an end that we don't know.
+    """Return whether a worker may have a run or an end that is not known.
 
-    One that answers keeps its ends until they are acknowledged. Without our
-    mark in the store, a later leader may have renewed its lease.
+    A worker that answers keeps its ends until they are acknowledged. Unless
+    the leader's lease is in force, a later leader may have renewed the
+    worker's lease.
     """
     answers = worker.fenced and worker.silent_since_s is None
     return (
@@ -120,16 +123,16 @@
     )
 
 
-def _held_back(
+def _may_run_unseen(
     leader: states.Leader,
     entry: ledgers.Entry,
     blocked: set[ids.ServiceId],
     now_s: float,
 ) -> bool:
-    """Say whether a worker that we can't ask may run tasks of a job.
+    """Return whether an unreachable worker may be running tasks of a job.
 
-    The operator may have given its queue another pool since; so it is the
-    pools that count in which leaders may have started its tasks.
+    The operator may have moved the job's queue to another pool since, so all
+    pools count in which leaders may have started its tasks.
     """
     if not entry.inherited:
         return False
@@ -142,9 +145,9 @@
 async def place(
     leader: states.Leader, only: set[ids.ServiceId] | None = None
 ) -> None:
-    """Decide starts, and order them.
+    """Decide which tasks start, and queue the orders to start them.
 
-    :param only: pools that something has changed in; None: all of them
+    :param only: pools in which something has changed; None: all pools
     """
     now_s = clock.now_s()
     known = states.known_queues(leader)
@@ -157,31 +160,35 @@
         clock.wall_ms(),
         now_s,
         only,
-        _in_turn(leader, quotas),
+        _share_order(leader, quotas),
     )
     pools: dict[ids.ServiceId, list[workers_.Worker]] = {}
     for worker in leader.workers.values():
         if worker.rostered and worker.entry.service in ready:
             pools.setdefault(worker.entry.service, []).append(worker)
-    if _entries_are_old(leader, now_s):
+    if _entries_are_stale(leader, now_s):
         ready = _guarded_only(leader, ready)
     for service, groups in ready.items():
         groups = [
             row
             for row in groups
-            if not _held_back(leader, row.entry, blocked, now_s)
+            if not _may_run_unseen(leader, row.entry, blocked, now_s)
         ]
         for task in placing.parted(groups, now_s):
             await worker_loop.stop_run(leader, task)
         pool = pools.get(service, [])
         groups = await _startable(leader, groups, service, pool, quotas)
-        decided = placing.decide(groups, pool, now_s, STARTS_A_PASS, quotas)
-        await _order(leader, decided, now_s)
-    _tell_limits(leader, ready, quotas, now_s)
+        decided = placing.decide(
+            groups, pool, now_s, MAX_STARTS_PER_PASS, quotas
+        )
+        await _enqueue_starts(leader, decided, now_s)
+    _log_limits(leader, ready, quotas, now_s)
 
 
-def _in_turn(leader: states.Leader, quotas: quotas_.Quotas) -> placing.InTurn:
-    """Make the order of groups of the same urgency, by tenants' shares."""
+def _share_order(
+    leader: states.Leader, quotas: quotas_.Quotas
+) -> placing.InTurn:
+    """Return the ordering of equally urgent groups, by tenants' shares."""
     weights = states.weights(leader)
     if not weights:
         return list
@@ -191,31 +198,34 @@
     return lambda groups: shares.in_turn(groups, quotas, weights, whole)
 
 
-def _tell_limits(
+def _log_limits(
     leader: states.Leader,
     ready: dict[ids.ServiceId, list[ledgers.Group]],
     quotas: quotas_.Quotas,
     now_s: float,
 ) -> None:
-    """Say now and then whose jobs wait for their tenant's limit."""
+    """Log which tenants' jobs wait for their limit, at limited intervals."""
     if not quotas.limits:
         return
-    held: dict[ids.TenantId, dict[ids.JobId, None]] = {}
+    waiting: dict[ids.TenantId, dict[ids.JobId, None]] = {}
     for groups in ready.values():
         for group in groups:
             job = group.entry.job
             if group.waiting and not quotas_.allows(quotas, group):
-                held.setdefault(job.tenant, {})[job.job] = None
-    for tenant, jobs in held.items():
-        told_s = leader.limits_told_s.get(tenant, -math.inf)
-        if now_s - told_s < LIMIT_TOLD_S or tenant not in quotas.limits:
+                waiting.setdefault(job.tenant, {})[job.job] = None
+    for tenant, jobs in waiting.items():
+        logged_s = leader.limits_told_s.get(tenant, -math.inf)
+        if (
+            now_s - logged_s < LIMIT_LOG_INTERVAL_S
+            or tenant not in quotas.limits
+        ):
             continue
         leader.limits_told_s[tenant] = now_s
         event_log.emit(
             'tenant',
             'at-limit',
             tenant=tenant,
-            jobs=list(jobs)[:MOST_JOBS_TOLD],
+            jobs=list(jobs)[:MAX_JOBS_LOGGED],
             waiting=len(jobs),
             running=msgspec.structs.asdict(_as_resources(quotas.used[tenant])),
             limit=msgspec.structs.asdict(quotas.limits[tenant]),
@@ -229,9 +239,9 @@
 def quotas_of(
     leader: states.Leader, blocked: set[ids.ServiceId], now_s: float
 ) -> quotas_.Quotas:
-    """Give what teams and tenants may still start.
+    """Return what teams and tenants may still start.
 
-    :param blocked: pools with workers that may run what we don't know of
+    :param blocked: pools with workers that may have runs unknown to the leader
     """
     limits = leader.server.limits
     unseen = quotas_.Unseen()
@@ -240,9 +250,9 @@
             [
                 group
                 for group in leader.ledger.open_groups
-                if _held_back(leader, group.entry, blocked, now_s)
+                if _may_run_unseen(leader, group.entry, blocked, now_s)
             ],
-            _unheard_capacity(leader, now_s),
+            _unreported_capacity(leader, now_s),
         )
     return quotas_.make(
         leader.policy.policy,
@@ -253,12 +263,12 @@
     )
 
 
-def _unheard_capacity(
+def _unreported_capacity(
     leader: states.Leader, now_s: float
 ) -> model.Resources | None:
-    """Give what workers can hold that may run what we don't know of.
+    """Return the capacity of workers that may have unknown runs.
 
-    None if not all of them are known.
+    None if some of these workers may be unknown themselves.
     """
     if now_s <= leader.rosters_unread_until_s:
         return None
@@ -269,19 +279,19 @@
     )
 
 
-def _entries_are_old(leader: states.Leader, now_s: float) -> bool:
-    """Say whether rooms may have shrunk for so long that it counts.
+def _entries_are_stale(leader: states.Leader, now_s: float) -> bool:
+    """Return whether workers' free capacity may be out of date.
 
-    An entry is written once a heartbeat, and a room that has shrunk counts a
-    contact later; so what was heard has to be as young as that. While the
-    store was away none was written.
+    An entry is written once per heartbeat, and a capacity that has shrunk is
+    binding one contact interval later, so the entries must be newer than that.
+    No entry was written while the store was unavailable.
     """
     settings = leader.server.settings
     age_s = now_s - leader.entries_heard_s
     back_s = now_s - leader.server.back_s
     return (
-        age_s > settings.contact_ms / 1000 - ON_THE_WAY_S
-        or back_s < settings.heartbeat_ms / 1000 + ON_THE_WAY_S
+        age_s > settings.contact_ms / 1000 - ORDER_DELIVERY_S
+        or back_s < settings.heartbeat_ms / 1000 + ORDER_DELIVERY_S
     )
 
 
@@ -289,7 +299,7 @@
     leader: states.Leader,
     ready: dict[ids.ServiceId, list[ledgers.Group]],
 ) -> dict[ids.ServiceId, list[ledgers.Group]]:
-    """Give what waits in pools whose workers refuse what doesn't fit."""
+    """Return the groups of pools whose workers refuse oversized tasks."""
     configuration = leader.server.configuration
     guarded = configuration.guarded if configuration else frozenset()
     return {name: rows for name, rows in ready.items() if name in guarded}
@@ -302,32 +312,35 @@
     pool: list[workers_.Worker],
     quotas: quotas_.Quotas,
 ) -> list[ledgers.Group]:
-    """Give the groups whose jobs may be started in a pool by now.
+    """Return the groups whose jobs are recorded as startable in a pool.
 
-    Of the others, whose queue was given this pool since, only those are
-    written that there is room for: 200 that wait took 15 writes at once.
+    The queues of the others were moved to this pool later. Of these, only
+    those that fit are recorded in the store: recording all of 200 waiting jobs
+    took 15 writes at once.
     """
-    kept = [row for row in groups if ledgers.may_start_in(row.entry, service)]
-    if len(kept) == len(groups):
+    startable = [
+        row for row in groups if ledgers.may_start_in(row.entry, service)
+    ]
+    if len(startable) == len(groups):
         return groups
     trial = placing.decide(
-        groups, pool, clock.now_s(), STARTS_A_PASS, quotas_.copy(quotas)
+        groups, pool, clock.now_s(), MAX_STARTS_PER_PASS, quotas_.copy(quotas)
     )
-    # In order, so that the same day goes the same way again.
+    # Ordered, so that a simulated day is reproducible.
     for entry in dict.fromkeys(row.task.group.entry for row in trial):
         if not ledgers.may_start_in(entry, service):
             ledgers.open_pool(leader.ledger, entry, service)
             await leader.unkept.set()
-    return kept
+    return startable
 
 
-async def _order(
+async def _enqueue_starts(
     leader: states.Leader, decided: list[placing.Placement], now_s: float
 ) -> None:
     gangs: dict[ledgers.Group, int] = {}
     orders = []
-    # All begin before any order is passed on: a gang's members go on from
-    # the same saved work.
+    # All runs begin before any order is queued: the members of a gang have to
+    # resume from the same checkpoint.
     for placement in decided:
         task = placement.task
         attempt = None
--- a/oleanderwood/leading/slow_workers.py
+++ b/oleanderwood/leading/slow_workers.py
@@ -1,4 +1,4 @@
-"""What the leader learns of workers' pace, and which of them are slow."""
+"""Measuring workers' speed, and detecting slow workers."""
 
 import functools
 
@@ -20,7 +20,7 @@
     rows: list[tuple[ledgers.Task, float]],
     now_s: float,
 ) -> None:
-    """Learn from tasks that are done how long theirs take, and here."""
+    """Update length estimates and the worker's speed by completed tasks."""
     pace = leader.paces.setdefault(worker.entry.worker, slowness.Pace())
     for task, length_s in rows:
         factor = _factor_of(leader, task.group.entry)
@@ -28,10 +28,10 @@
         lengths.note(leader.lengths, task.group, length_s)
 
 
-def to_leave(
+def tasks_to_move(
     leader: states.Leader, worker: workers_.Worker, now_s: float
 ) -> list[ledgers.Task]:
-    """Judge a worker; gives the tasks that would end sooner elsewhere."""
+    """Re-evaluate a worker; return tasks that would end sooner elsewhere."""
     factor_of = functools.partial(_factor_of, leader)
     pace = leader.paces[worker.entry.worker]
     slowness.measure(pace, worker, factor_of, now_s)
@@ -54,9 +54,9 @@
 def _judge(
     leader: states.Leader, worker: workers_.Worker, pace: slowness.Pace
 ) -> None:
-    """Hold a worker's pace against those of its pool."""
+    """Compare a worker's speed with the other workers of its pool."""
     if pace.ratio is not None:
-        slowness.judge(pace, _others(leader, worker))
+        slowness.judge(pace, _pool_ratios(leader, worker))
     if pace.slow == worker.slow:
         return
     worker.slow = pace.slow
@@ -69,8 +69,10 @@
     )
 
 
-def _others(leader: states.Leader, worker: workers_.Worker) -> list[float]:
-    """Give what is known of the other workers of a pool."""
+def _pool_ratios(
+    leader: states.Leader, worker: workers_.Worker
+) -> list[float]:
+    """Return the known speed ratios of the other workers of the pool."""
     return [
         leader.paces[name].ratio
         for name, row in leader.workers.items()
--- a/oleanderwood/leading/worker_loop.py
+++ b/oleanderwood/leading/worker_loop.py
@@ -1,4 +1,4 @@
-"""Renewals of one worker, and what its reports tell."""
+"""Lease renewals of a worker and the processing of its reports."""
 
 import curio
 import msgspec
@@ -26,81 +26,90 @@
 from oleanderwood import verdict as verdicts
 
 BUSY_WAIT_MS = 1000
-"""How long a worker with runs waits for an end before it answers; also the
-longest time between two renewals, a fifth of a lease."""
+"""Longest time for which a worker with runs holds a renewal open while it
+waits for a run to end; also the longest interval between two renewals, a fifth
+of a lease."""
 
 IDLE_WAIT_MS = 2000
-"""As above for a worker without runs, the most that is allowed."""
+"""As ``BUSY_WAIT_MS`` for a worker without runs; the longest wait that the
+platform allows."""
 
 STARTING_WAIT_MS = 200
-"""As above while a long-running task isn't at work yet: maintenance takes the
-next machine of its step once it is known to be."""
+"""As ``BUSY_WAIT_MS`` while a long-running task is starting up: maintenance
+takes the next machine of its step only once the task is known to be at
+work."""
 
-WARY_WAIT_MS = 150
-"""As above while calls go unanswered: a lost call looks like a worker that has
-nothing to tell."""
+LOSSY_WAIT_MS = 150
+"""As ``BUSY_WAIT_MS`` while calls are being lost: a lost call cannot be told
+from a worker that has nothing to report."""
 
-WARY_TIMEOUT_S = 0.3
-"""Longest wait for an answer while calls go unanswered; calm ones take
-2 ms, on a machine of ours that is slowed down five times as long."""
+LOSSY_TIMEOUT_S = 0.3
+"""Timeout of a call while calls are being lost. A call normally takes 2 ms,
+and 10 ms if this server's machine is slowed down."""
 
-WARY_S = 8.0
-"""Time for which one unanswered call makes a leader wary; among the calls
-of so long a time, one in twenty isn't missed."""
+LOSSY_S = 8.0
+"""Time after an unanswered call for which calls are taken to be lossy. So many
+calls are made in this time that a loss of one in twenty shows again."""
 
-LATE_FACTOR = 4.0
-"""How much longer answers are waited for, as a multiple of how late our own
-timers are: an answer that has arrived is read only when its turn comes, and
-its timeout must not be handled first."""
+TIMER_LAG_FACTOR = 4.0
+"""Extension of call timeouts, as a multiple of the lag of this server's own
+timers: an answer that has arrived is read only once its task is scheduled, and
+its timeout must not be handled before that."""
 
-REPLACED = 'replaced at its address'
-"""Why a worker is gone whose address another one answers at."""
+REPLACED = 'another worker answers at its address'
+"""Reason logged for a worker that is gone or silent as its address now belongs
+to another worker."""
 
-RESTARTED = 'another life of its executor answers'
-"""Why a worker counts as silent whose executor has started again."""
+RESTARTED = 'another incarnation of its executor answers'
+"""Reason logged for a worker that counts as silent as its executor has
+restarted."""
 
-AT_ONCE_S = 0.005
-"""Time within which a connection is found closed that was so before."""
+STALE_CONNECTION_S = 0.005
+"""A call that fails within this time used a connection that was closed before
+the call began."""
 
 SILENT_PAUSE_S = 0.2
-"""Pause between calls to a worker that doesn't answer, or while we may not
-act."""
+"""Pause between calls to a worker that does not answer, and between calls
+while the leader may not act."""
 
-KEEP_PAUSE_S = 0.25
-"""Longest wait for ends to be written; a worker that lists ends which aren't
-acknowledged answers at once, and would be asked without pause."""
+PERSIST_WAIT_S = 0.25
+"""Longest wait for ends of runs to be persisted before the next renewal. A
+worker that lists unacknowledged ends answers at once, so that without this
+wait it would be polled without a pause."""
 
-JUST_ANSWERED_S = 2 * KEEP_PAUSE_S
-"""Time after a worker's answer in which the next call acknowledges ends. A
-leader that could not act, or was suspended, asks again first."""
+JUST_ANSWERED_S = 2 * PERSIST_WAIT_S
+"""Age of a worker's last answer up to which a renewal acknowledges ends. A
+leader that could not act, or was suspended, renews once without doing so."""
 
 
 async def renew_always(leader: states.Leader, worker: workers_.Worker) -> None:
-    """Renew a worker's lease and take its reports, until it is gone."""
+    """Renew a worker's lease and process its reports until it is gone."""
     while not worker.gone and not leader.deposed:
-        wary = _is_wary(leader)
+        wary = _is_lossy(leader)
         if not states.may_act(leader):
             await _keep_fenced(leader, worker)
             await curio.sleep(SILENT_PAUSE_S)
             continue
         first = worker.silent_since_s is None
         longest_ms = longest_wait_ms(worker, wary)
-        answered = await look(leader, worker, longest_ms, acknowledge=True)
+        answered = await renew_once(
+            leader, worker, longest_ms, acknowledge=True
+        )
         if not answered:
-            # One lost call is asked again at once.
+            # The first call that fails is repeated without a pause.
             await curio.sleep(0 if first else SILENT_PAUSE_S)
         elif worker.seen_end > worker.kept_end:
             await leader.unkept.set()
             wake = leader.ends_kept[worker.entry.worker]
-            await wake.wait(KEEP_PAUSE_S)
+            await wake.wait(PERSIST_WAIT_S)
 
 
 async def _keep_fenced(leader: states.Leader, worker: workers_.Worker) -> None:
-    """Let a worker see our fence while we may not act.
+    """Send a worker this term's fence while the leader may not act.
 
-    Its executor may start again meanwhile, and nobody else may lead: the next
-    life would carry out orders of earlier terms. What it answers isn't taken,
-    since another server may know better.
+    The executor may restart meanwhile, and there may be no other leader: its
+    next incarnation would carry out orders of earlier terms. The report is
+    ignored, as another server may have newer state.
     """
     fence = states.fence_of(leader, worker)
     longest_ms = longest_wait_ms(worker, wary=False)
@@ -112,28 +121,28 @@
     except (errors.CallFailed, executors.Replaced) as error:
         note_silence(worker, str(error))
     else:
-        if not _is_of(worker, report):
+        if not _is_from(worker, report):
             note_silence(worker, RESTARTED)
 
 
-def _is_of(worker: workers_.Worker, report: reports.Report) -> bool:
-    """Say whether the life that was called has answered."""
+def _is_from(worker: workers_.Worker, report: reports.Report) -> bool:
+    """Return whether a report is from the incarnation that was called."""
     return report.worker in ('', worker.entry.worker)
 
 
 def longest_wait_ms(worker: workers_.Worker, wary: bool) -> int:
-    """Give how long a worker waits for an end before it answers."""
+    """Return how long a worker may wait for the end of a run to answer."""
     if not worker.fenced or worker.silent_since_s is not None:
         return 0
     if not worker.runs:
         return IDLE_WAIT_MS
     if wary:
-        return WARY_WAIT_MS
-    return STARTING_WAIT_MS if _starts_up(worker) else BUSY_WAIT_MS
+        return LOSSY_WAIT_MS
+    return STARTING_WAIT_MS if _has_task_starting(worker) else BUSY_WAIT_MS
 
 
-def _starts_up(worker: workers_.Worker) -> bool:
-    """Say whether a long-running task there isn't known to be at work."""
+def _has_task_starting(worker: workers_.Worker) -> bool:
+    """Return whether a long-running task there is not known to be at work."""
     return any(
         task.group.step.lasting
         and task.run is not None
@@ -142,33 +151,34 @@
     )
 
 
-def _is_wary(leader: states.Leader) -> bool:
+def _is_lossy(leader: states.Leader) -> bool:
     wary = clock.now_s() < leader.wary_until_s
     leader.calls.timeout_s = timeout_s(wary, leader.pulse.late_s)
     return wary
 
 
 def timeout_s(wary: bool, late_s: float) -> float:
-    """Give how long the answer to an order is waited for.
+    """Return the timeout of an order.
 
-    :param late_s: how late our own timers are
+    :param wary: calls are being lost
+    :param late_s: the lag of this server's own timers
     """
-    calm_s = WARY_TIMEOUT_S if wary else executors.ORDER_TIMEOUT_S
-    return calm_s + LATE_FACTOR * late_s
+    calm_s = LOSSY_TIMEOUT_S if wary else executors.ORDER_TIMEOUT_S
+    return calm_s + TIMER_LAG_FACTOR * late_s
 
 
 async def note_failed_order(
     leader: states.Leader, worker: workers_.Worker, error: errors.CallFailed
 ) -> None:
-    """Note that an order failed; it may be carried out seconds later.
+    """Raise the fence after an order that may be carried out seconds later.
 
-    The next answered call makes the worker refuse it, and so does the first
-    one that the next life of its executor answers.
+    The worker refuses that order once it has answered a later call; so does
+    the executor's next incarnation.
     """
     if error.verdict is verdicts.Verdict.NOT_RUN:
         return
     states.raise_fence(leader, worker)
-    await late_orders.note(leader, worker)
+    await late_orders.record_unanswered(leader, worker)
     event_log.emit(
         'worker',
         'fence-raised',
@@ -180,30 +190,32 @@
 
 
 def note_unanswered(leader: states.Leader, error: errors.CallFailed) -> None:
-    """Be wary after a call that was sent and got no answer.
+    """Treat calls as lossy for a while after one that got no answer.
 
-    One whose connection was closed is no such call: it is known at once, and
-    each machine that moves closes one.
+    A closed connection does not count: it is noticed at once, and each machine
+    that moves closes one.
     """
     if isinstance(error, errors.Unanswered):
-        leader.wary_until_s = clock.now_s() + WARY_S
-        _is_wary(leader)
+        leader.wary_until_s = clock.now_s() + LOSSY_S
+        _is_lossy(leader)
 
 
-async def look(
+async def renew_once(
     leader: states.Leader,
     worker: workers_.Worker,
     longest_wait_ms: int,
     acknowledge: bool = False,
 ) -> bool:
-    """Renew once; says whether the worker answered.
+    """Renew a worker's lease once, and return whether it answered.
 
-    A leader that may not act any more, as it was suspended, only asks: the
-    next one waits no longer than for leases given before it was elected.
+    A leader that may not act, for example after it was suspended, requests a
+    report without extending the lease: the next leader waits only for leases
+    given before its election.
 
-    :param acknowledge: let it forget ends that are kept, if it has just
-        answered: another life of its executor, which nobody has heard of yet,
-        would forget its own first ends unread
+    :param longest_wait_ms: how long the worker may wait for the end of a run
+    :param acknowledge: let the worker discard persisted ends, provided that it
+        has just answered: an incarnation of its executor that is not known yet
+        would discard its own first ends before they are read
     """
     if worker.gone:
         return False
@@ -231,39 +243,39 @@
         if lease_end_ms is not None or acknowledged:
             await note_failed_order(leader, worker, error)
         note_unanswered(leader, error)
-        note_silence(worker, error.reason, _silent_after_s(error, sent_s))
+        note_silence(worker, error.reason, _silent_from_s(error, sent_s))
         return False
-    if _is_of(worker, report):
-        await take(leader, worker, report, sent_s)
+    if _is_from(worker, report):
+        await process_report(leader, worker, report, sent_s)
         return True
-    await _take_of_another(leader, worker, report, sent_s)
+    await _process_other_report(leader, worker, report, sent_s)
     return False
 
 
-async def _take_of_another(
+async def _process_other_report(
     leader: states.Leader,
-    meant: workers_.Worker,
+    called: workers_.Worker,
     report: reports.Report,
     sent_s: float,
 ) -> None:
-    """Take a report that another life gave than the one that was called.
+    """Process a report of another incarnation than the one that was called.
 
-    That life is met by it: its own entry in the store may come seconds later,
-    and until then it gets no tasks.
+    The report makes that incarnation known. Its own entry in the store may
+    arrive seconds later, and until then it gets no tasks.
     """
-    if meant.gone or not restarts.is_before(meant, sent_s):
+    if called.gone or not restarts.is_earlier(called, sent_s):
         return
     if not states.holds_lease(leader):
-        # As in ``lost``: a later leader may have noted an end there.
-        note_silence(meant, RESTARTED)
+        # As in ``lost``: a later leader may have recorded an end there.
+        note_silence(called, RESTARTED)
         return
     worker = leader.workers.get(report.worker)
     if worker is None:
-        entry = msgspec.structs.replace(meant.entry, worker=report.worker)
+        entry = msgspec.structs.replace(called.entry, worker=report.worker)
         worker = await meeting.meet(
             leader, entry, listed=False, provisional=True
         )
-    await take(leader, worker, report, sent_s)
+    await process_report(leader, worker, report, sent_s)
 
 
 def new_lease_end_ms(
@@ -273,26 +285,26 @@
     return workers_.clock_now_ms(worker, now_s) + lease_s * 1000
 
 
-async def take(
+async def process_report(
     leader: states.Leader,
     worker: workers_.Worker,
     report: reports.Report,
     sent_s: float,
 ) -> None:
-    """Take a worker's report, unless it answers an older call."""
+    """Process a worker's report, unless it answers an older call."""
     name = worker.entry.worker
     if worker.gone or sent_s < leader.reported_s.get(name, 0.0):
         return
     leader.reported_s[name] = sent_s
     now_s = clock.now_s()
-    # From here to the end of take_report nothing else may run: a task of an
-    # earlier life could start elsewhere that runs here.
-    refused = restarts.succeed(leader, worker, report, sent_s)
+    # No other coroutine may run from here until take_report returns: a task of
+    # an earlier incarnation that runs here could be started elsewhere.
+    refused = restarts.supersede_earlier(leader, worker, report, sent_s)
     if not worker.fenced:
         longest_s = former.longest_lease_s(leader)
         worker.lease_end_s = min(worker.lease_end_s, now_s + longest_s)
-    answers_again = not worker.fenced or worker.silent_since_s is not None
-    if answers_again:
+    is_back = not worker.fenced or worker.silent_since_s is not None
+    if is_back:
         event_log.emit(
             'worker',
             'answers',
@@ -311,9 +323,9 @@
     outcome = workers_.take_report(
         leader.ledger, worker, report, sent_s, now_s, most_attempts
     )
-    if answers_again:
+    if is_back:
         await leader.due.set(worker.entry.service)
-    await restarts.settle(leader)
+    await restarts.notify_ended(leader)
     for note in outcome.notes:
         server_metrics.ENDS.labels(note.event).inc()
         event_log.emit(
@@ -340,8 +352,8 @@
         )
     for task in stalls.stalled(worker, now_s):
         await _give_up_stalled(leader, worker, task)
-    leaving = slow_workers.to_leave(leader, worker, now_s)
-    for task in leaving + relocating.to_leave(leader, worker, now_s):
+    leaving = slow_workers.tasks_to_move(leader, worker, now_s)
+    for task in leaving + relocating.tasks_to_move(leader, worker, now_s):
         task.failed_on = name
         await stop_run(leader, task)
     if outcome.changed:
@@ -365,32 +377,33 @@
 
 
 async def stop_ended_jobs(leader: states.Leader) -> None:
-    """Stop what still runs of jobs that have ended."""
+    """Stop the runs of jobs that have ended."""
     for entry in list(leader.ledger.dirty.values()):
         if ledgers.final(entry):
             for task in list(ledgers.runs(entry)):
                 await stop_run(leader, task)
 
 
-def _silent_after_s(error: errors.CallFailed, sent_s: float) -> float | None:
-    """Say from when on a worker may have been silent by a call's failure.
+def _silent_from_s(error: errors.CallFailed, sent_s: float) -> float | None:
+    """Return since when a worker may have been silent, by a call's failure.
 
-    A connection that is closed while its answer is waited for tells it to the
-    moment; one that can't be opened, or isn't answered, doesn't.
+    A connection that is closed during the call gives the exact time. One that
+    cannot be opened, or stays unanswered, gives none.
     """
     sent = error.verdict is not verdicts.Verdict.NOT_RUN
     if not sent or isinstance(error, errors.Unanswered):
         return None
     now_s = clock.now_s()
-    return now_s if now_s - sent_s > AT_ONCE_S else None
+    return now_s if now_s - sent_s > STALE_CONNECTION_S else None
 
 
 def note_silence(
     worker: workers_.Worker, why: str, after_s: float | None = None
 ) -> None:
-    """Note that a worker doesn't answer.
+    """Record that a worker does not answer.
 
-    :param after_s: from when on it may have been so; None: its last answer
+    :param after_s: earliest time since when it may be silent; None: since its
+        last answer
     """
     if worker.silent_since_s is None:
         worker.silent_since_s = clock.now_s()
@@ -411,10 +424,10 @@
 async def note_fenced(
     leader: states.Leader, worker: workers_.Worker, fence: ids.Fence
 ) -> bool:
-    """Note that a worker has refused an order for its fence.
+    """Handle an order that a worker has refused because of its fence.
 
-    :return: whether the order may be sent again: a later call of ours came
-        first. Otherwise another server leads
+    :return: True if the order may be sent again, as a later call of this
+        leader overtook it; otherwise another server leads, and the term ends
     """
     if states.is_overtaken(leader, worker, fence):
         return True
@@ -425,7 +438,7 @@
 async def note_replaced(
     leader: states.Leader, worker: workers_.Worker
 ) -> None:
-    """Note that another worker stands at a worker's address."""
+    """Handle a worker whose address now belongs to another worker."""
     if not await lost(leader, worker, REPLACED):
         note_silence(worker, REPLACED)
 
@@ -436,13 +449,13 @@
     why: str,
     planned: bool = False,
 ) -> bool:
-    """Note that a worker is gone, and with it all its runs.
+    """Mark a worker as gone, and all its runs as lost.
 
-    Not without our mark in the store, and then it gives False: a later leader
-    may have noted an end there, and its task would be started once more. The
-    call that told so is made again.
+    Do nothing and return False unless the leader's lease is in force: a later
+    leader may have recorded an end there, and its task would be started again.
+    The caller repeats the call that showed the loss.
 
-    :param planned: by an order, so that no task is to blame
+    :param planned: an order ended the worker, so that no task is to blame
     """
     if worker.gone:
         return True
@@ -450,7 +463,7 @@
         return False
     worker.gone = True
     now_s = clock.now_s()
-    losses = losses_.note(leader, worker, planned)
+    losses = losses_.record(leader, worker, planned)
     tasks = workers_.lost(leader.ledger, worker, now_s)
     event_log.emit(
         'worker',
@@ -458,7 +471,7 @@
         worker=worker.entry.worker,
         why=why,
         tasks=[task.name for task in tasks],
-        **losses_.told(losses),
+        **losses_.log_fields(losses),
     )
     restarts.forget(leader, worker)
     await leader.orders[worker.entry.worker].put(None)
@@ -470,13 +483,13 @@
 
 
 async def stop_run(leader: states.Leader, task: ledgers.Task) -> None:
-    """Order the stop of a task's run, once."""
+    """Order the stop of a task's run, unless it was ordered already."""
     run = task.run
     if run is None or run.phase is ledgers.RunPhase.STOPPING:
         return
     if run.phase is ledgers.RunPhase.ORDERED:
-        # Its start may be under way; the answer to it will be followed by
-        # the stop.
+        # Its start may be in flight; the run is stopped once that call is
+        # answered.
         return
     ledgers.set_phase(run, ledgers.RunPhase.STOPPING, clock.now_s())
     run.stop_answered_s = None
--- a/tests/test_late_calls.py
+++ b/tests/test_late_calls.py
@@ -113,7 +113,7 @@
     async def handle(source, method, target, body, headers):
         if target == '/run-start' and not seen:
             states.raise_fence(leader, worker)
-            await worker_loop.look(leader, worker, 0)
+            await worker_loop.renew_once(leader, worker, 0)
         answer = await handler(source, method, target, body, headers)
         if target == '/run-start':
             seen.append(answer.status)
--- a/tests/test_machine_turns.py
+++ b/tests/test_machine_turns.py
@@ -45,15 +45,15 @@
 
 def test_unreadable_announcements_hold_all_machines_for_a_pause(leader):
     machine_turns.restore_or_wait(leader, b'no JSON')
-    assert not machine_turns.is_ours(leader, 'm1')
+    assert not machine_turns.may_order(leader, 'm1')
     leader.now.s += 3.4
-    assert not machine_turns.is_ours(leader, 'm1')
+    assert not machine_turns.may_order(leader, 'm1')
     leader.now.s += 0.2
-    assert machine_turns.is_ours(leader, 'm1')
+    assert machine_turns.may_order(leader, 'm1')
 
 
 def test_later_leader_learns_what_pools_had_before_the_first_move(leader):
-    kept = machine_turns.Announced(
+    kept = machine_turns.Announcements(
         {'m1': 0.0}, {'drafts': 6}, {'drafts': 384.0}
     )
     machine_turns.restore(leader, msgspec.json.encode(kept))
@@ -62,7 +62,7 @@
 
 
 def test_pause_is_counted_by_the_age_that_the_writer_told(leader):
-    kept = machine_turns.Announced(
+    kept = machine_turns.Announcements(
         {'m1': 9e9, 'm2': 0.0, 'm3': 0.0},
         ages_ms={'m1': 0.0, 'm2': 2000.0, 'm3': 4000.0},
     )
@@ -79,12 +79,12 @@
 
 
 def test_later_leader_learns_what_may_be_down_for_maintenance(leader):
-    kept = machine_turns.Announced(
+    kept = machine_turns.Announcements(
         {'m1': 0.0, 'm2': 0.0, 'm3': 0.0},
         ages_ms={'m1': 0.0, 'm2': 0.0, 'm3': 9000.0},
         maintained=['m1', 'm3'],
     )
     machine_turns.restore(leader, msgspec.json.encode(kept))
-    assert machine_turns.perhaps_down(leader) == {'m1'}
+    assert machine_turns.possibly_down(leader) == {'m1'}
     leader.now.s += 4.0
-    assert not machine_turns.perhaps_down(leader)
+    assert not machine_turns.possibly_down(leader)
--- a/tests/test_restart_defects.py
+++ b/tests/test_restart_defects.py
@@ -23,14 +23,14 @@
 
 
 def _ends_are_kept(patch):
-    real = restarts._end
+    real = restarts._supersede
 
     def end(leader, former, worker, report):
         worker.seen_end = max(worker.seen_end, former.seen_end)
         worker.kept_end = max(worker.kept_end, former.kept_end)
         return real(leader, former, worker, report)
 
-    patch.setattr(restarts, '_end', end)
+    patch.setattr(restarts, '_supersede', end)
 
 
 def _clock_is_kept(patch):
@@ -65,7 +65,7 @@
 
 
 def _each_look_acknowledges(patch):
-    real = worker_loop.look
+    real = worker_loop.renew_once
 
     async def look(leader, worker, longest_wait_ms, acknowledge=False):
         kept, worker.silent_since_s = worker.silent_since_s, None
@@ -75,12 +75,12 @@
             if worker.silent_since_s is None and kept is not None:
                 worker.silent_since_s = worker.gone and kept or None
 
-    patch.setattr(worker_loop, 'look', look)
+    patch.setattr(worker_loop, 'renew_once', look)
     patch.setattr(worker_loop, 'JUST_ANSWERED_S', math.inf)
 
 
 def _former_lives_go_on(patch):
-    patch.setattr(restarts, 'succeed', lambda *args: [])
+    patch.setattr(restarts, 'supersede_earlier', lambda *args: [])
 
 
 def _fences_never_rise(patch):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -118,12 +118,12 @@
     """An answer of one life came after the call that the other answers."""
     former = jobs.worker('w1/1')
     former.met_s, former.clock_at_s = 1.0, 5.0
-    assert not restarts_.is_before(former, 4.9)
-    assert restarts_.is_before(former, 5.0)
+    assert not restarts_.is_earlier(former, 4.9)
+    assert restarts_.is_earlier(former, 5.0)
     never = jobs.worker('w1/2')
     never.met_s = 3.0
-    assert not restarts_.is_before(never, 2.9)
-    assert restarts_.is_before(never, 3.1)
+    assert not restarts_.is_earlier(never, 2.9)
+    assert restarts_.is_earlier(never, 3.1)
 
 
 def test_restart_while_the_store_is_away():
--- a/tests/test_starting_up.py
+++ b/tests/test_starting_up.py
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize(
     ('wary', 'wait_ms'),
-    [(False, worker_loop.BUSY_WAIT_MS), (True, worker_loop.WARY_WAIT_MS)],
+    [(False, worker_loop.BUSY_WAIT_MS), (True, worker_loop.LOSSY_WAIT_MS)],
 )
 def test_other_tasks_change_no_wait(wary, wait_ms):
     worker, _run = _worker()
