--- a/oleanderwood/leading/worker_loop.py
+++ b/oleanderwood/leading/worker_loop.py
@@ -85,13 +85,13 @@
 async def renew_always(leader: states.Leader, worker: workers_.Worker) -> None:
     """Renew a worker's lease and process its reports until it is gone."""
     while not worker.gone and not leader.deposed:
-        wary = _is_lossy(leader)
+        lossy = _is_lossy(leader)
         if not states.may_act(leader):
             await _keep_fenced(leader, worker)
             await curio.sleep(SILENT_PAUSE_S)
             continue
         first = worker.silent_since_s is None
-        longest_ms = longest_wait_ms(worker, wary)
+        longest_ms = longest_wait_ms(worker, lossy)
         answered = await renew_once(
             leader, worker, longest_ms, acknowledge=True
         )
@@ -112,7 +112,7 @@
     ignored, as another server may have newer state.
     """
     fence = states.fence_of(leader, worker)
-    longest_ms = longest_wait_ms(worker, wary=False)
+    longest_ms = longest_wait_ms(worker, lossy=False)
     order = reports.Renewal(fence, longest_wait_ms=longest_ms)
     try:
         report = await executors.renew(leader.calls, worker.entry, order)
@@ -130,13 +130,13 @@
     return report.worker in ('', worker.entry.worker)
 
 
-def longest_wait_ms(worker: workers_.Worker, wary: bool) -> int:
+def longest_wait_ms(worker: workers_.Worker, lossy: bool) -> int:
     """Return how long a worker may wait for the end of a run to answer."""
     if not worker.fenced or worker.silent_since_s is not None:
         return 0
     if not worker.runs:
         return IDLE_WAIT_MS
-    if wary:
+    if lossy:
         return LOSSY_WAIT_MS
     return STARTING_WAIT_MS if _has_task_starting(worker) else BUSY_WAIT_MS
 
@@ -152,9 +152,9 @@
 
 
 def _is_lossy(leader: states.Leader) -> bool:
-    wary = clock.now_s() < leader.wary_until_s
-    leader.calls.timeout_s = timeout_s(wary, leader.pulse.late_s)
-    return wary
+    lossy = clock.now_s() < leader.wary_until_s
+    leader.calls.timeout_s = timeout_s(lossy, leader.pulse.late_s)
+    return lossy
 
 
 def timeout_s(wary: bool, late_s: float) -> float:
@@ -281,6 +281,7 @@
 def new_lease_end_ms(
     leader: states.Leader, worker: workers_.Worker, now_s: float
 ) -> float:
+    """Return the end of a lease given now, by the worker's own clock in ms."""
     lease_s = states.task_lease_s(leader.server.settings)
     return workers_.clock_now_ms(worker, now_s) + lease_s * 1000
 
--- a/tests/test_late_calls.py
+++ b/tests/test_late_calls.py
@@ -1,12 +1,11 @@
-"""Calls of a leader's own that are carried out late are refused.
-
-What callers saw: tasks that ran again though they were done, and tasks that
-ran on two executors at once. Order of events: a call to an executor gets no
-answer; the executor starts again under its id, and the leader meets the next
-life; seconds later the call is carried out there. All calls of a term had the
-same fence, so the next life took it: a renewal forgot ends that nobody had
-read, or lengthened the lease of all that ran there. Evidence:
-`test_order_in_the_next_life`, and the answers to the late calls below.
+"""Calls of the same leader that are carried out late are refused.
+
+Guards against tasks that run again after they are done, or on two executors at
+once. A call to an executor gets no answer; the executor restarts under its id,
+and its next incarnation answers the leader; seconds later the call is carried
+out there. When all calls of a term had the same fence, that incarnation
+accepted it: a late renewal discarded ends that nobody had read, or extended
+the lease of everything that ran there. See also `test_order_in_the_next_life`.
 """
 
 import curio
@@ -23,36 +22,38 @@
 from tests import utils_takeover as build
 
 LATE_S = 6.0
-NEXT_LIFE_S = 1.5
-"""Time from a call that is carried out late to the next life: by then it was
-given up, and the run it was about was looked for."""
+RESTART_AFTER_S = 1.5
+"""Time from a delayed call to the executor's restart: by then the call has
+timed out, and the worker was asked about its run."""
 
 
 def _leader(scene) -> states.Leader:
     return build.leader(scene).state.leader
 
 
-def _late_call(outcomes, restarts, meant, asks=None, step=utils_restarts.LONG):
-    """Let one call to a busy executor be carried out late.
+def _late_call(
+    outcomes, restarts, path, matches=None, step=utils_restarts.LONG
+):
+    """Carry out one call to a busy executor late.
 
-    :param outcomes: gets how the late call ended
-    :param restarts: whether the executor starts again meanwhile
+    :param outcomes: receives the outcome of the late call
+    :param restarts: whether the executor restarts meanwhile
     """
 
-    async def story(scene):
-        late = utils_restarts.make_one_late(scene, LATE_S, meant, asks)
+    async def scenario(scene):
+        late = utils_restarts.make_one_late(scene, LATE_S, path, matches)
         await build.hand_in(scene, build.leader(scene), step)
         while not late:
             await curio.sleep(0.01)
-        (struck,) = late
-        await curio.sleep(NEXT_LIFE_S)
+        (address,) = late
+        await curio.sleep(RESTART_AFTER_S)
         if restarts:
-            await utils_restarts.restart(scene, struck, 0.05)
-        ended = utils_restarts.note_late(scene, struck)
+            await utils_restarts.restart(scene, address, 0.05)
+        late_outcomes = utils_restarts.note_late(scene, address)
         await curio.sleep(LATE_S)
-        outcomes.extend(ended)
+        outcomes.extend(late_outcomes)
 
-    return utils_restarts.play(story)
+    return utils_restarts.play(scenario)
 
 
 @pytest.mark.parametrize('restarts', [False, True])
@@ -90,7 +91,7 @@
 def test_start_that_a_later_call_overtakes_is_sent_again():
     seen = []
 
-    async def story(scene):
+    async def scenario(scene):
         leader = _leader(scene)
         for address in utils_restarts.executor_addresses(scene):
             _overtake(scene, leader, address, seen)
@@ -98,13 +99,13 @@
         await curio.sleep(1.0)
         assert not leader.deposed
 
-    result = utils_restarts.play(story)
+    result = utils_restarts.play(scenario)
     assert seen[:2] == [409, 200]
     assert not result.breaches and not result.unfinished
 
 
 def _overtake(scene, leader, address, seen) -> None:
-    """Let a call with a higher fence come before the first start."""
+    """Send a call with a higher fence ahead of the first start."""
     handler = scene.network.handlers[address]
     (worker,) = [
         row for row in leader.workers.values() if row.entry.address == address
@@ -125,7 +126,7 @@
 def test_term_ends_once_its_fences_are_used_up():
     terms = []
 
-    async def story(scene):
+    async def scenario(scene):
         leader = _leader(scene)
         worker = next(iter(leader.workers.values()))
         for _ in range(fences.NUMBERS - fences.RESERVED):
@@ -137,24 +138,24 @@
             scene, build.leader(scene), build.step(3, 1500, build.BRIEF_MS)
         )
 
-    result = build.play(story)
+    result = build.play(scenario)
     assert terms == ['its fences are used up', True]
     assert not result.breaches and not result.unfinished
 
 
 def test_refusal_by_a_higher_term_ends_the_term():
-    told = []
+    reasons = []
 
-    async def story(scene):
+    async def scenario(scene):
         leader = _leader(scene)
         for machine in scene.fleet.machines.values():
             if machine.executor is not None:
                 machine.executor.fence = leader.term + 1
         await curio.sleep(3.0)
-        told.append(leader.deposed)
+        reasons.append(leader.deposed)
 
-    build.play(story)
-    assert told == ['a worker has seen a higher term']
+    build.play(scenario)
+    assert reasons == ['a worker has seen a higher term']
 
 
 EXECUTORS = tuple(ids.ExecutorId(name) for name in 'ab')
@@ -172,19 +173,19 @@
 )
 def test_fences_only_rise_within_their_term(term_before, steps):
     term = fences.next_term(term_before)
-    given = fences.Fences(term)
-    last = {name: fences.current(given, name) for name in EXECUTORS}
+    fence_book = fences.Fences(term)
+    last = {name: fences.current(fence_book, name) for name in EXECUTORS}
     assert min(last.values()) > term_before
     for act, name in steps:
         if act == 'raise':
-            fences.raise_fence(given, name)
+            fences.raise_fence(fence_book, name)
         else:
-            fences.forget(given, name, 0.0)
-        now = fences.current(given, name)
-        used_up = fences.are_used_up(given, name)
+            fences.forget(fence_book, name, 0.0)
+        now = fences.current(fence_book, name)
+        used_up = fences.are_used_up(fence_book, name)
         assert now > last[name] or act == 'forget' or used_up
         assert now >= last[name]
-        assert fences.is_overtaken(given, name, last[name]) == (
+        assert fences.is_overtaken(fence_book, name, last[name]) == (
             now > last[name]
         )
         assert now <= term
@@ -192,29 +193,29 @@
 
 
 def test_number_of_an_executor_that_is_gone_is_kept_for_a_while():
-    given = fences.Fences(fences.NUMBERS)
+    fence_book = fences.Fences(fences.NUMBERS)
     for name in EXECUTORS:
-        fences.raise_fence(given, name)
-        fences.raise_fence(given, name)
-    fences.forget(given, EXECUTORS[0], 10.0)
-    fences.forget(given, EXECUTORS[1], 10.0 + fences.KEPT_S)
-    assert fences.number(given, EXECUTORS[0]) == 2
-    fences.forget(given, EXECUTORS[1], 11.0 + fences.KEPT_S)
-    assert EXECUTORS[0] not in given.numbers
-    assert fences.number(given, EXECUTORS[1]) == 2
+        fences.raise_fence(fence_book, name)
+        fences.raise_fence(fence_book, name)
+    fences.forget(fence_book, EXECUTORS[0], 10.0)
+    fences.forget(fence_book, EXECUTORS[1], 10.0 + fences.KEPT_S)
+    assert fences.number(fence_book, EXECUTORS[0]) == 2
+    fences.forget(fence_book, EXECUTORS[1], 11.0 + fences.KEPT_S)
+    assert EXECUTORS[0] not in fence_book.numbers
+    assert fences.number(fence_book, EXECUTORS[1]) == 2
 
 
-def test_one_that_is_met_again_keeps_its_number():
-    given = fences.Fences(fences.NUMBERS)
-    fences.raise_fence(given, EXECUTORS[0])
-    fences.forget(given, EXECUTORS[0], 0.0)
-    fences.raise_fence(given, EXECUTORS[0])
-    fences.forget(given, EXECUTORS[1], 2 * fences.KEPT_S)
-    assert fences.number(given, EXECUTORS[0]) == 2
+def test_executor_that_returns_keeps_its_number():
+    fence_book = fences.Fences(fences.NUMBERS)
+    fences.raise_fence(fence_book, EXECUTORS[0])
+    fences.forget(fence_book, EXECUTORS[0], 0.0)
+    fences.raise_fence(fence_book, EXECUTORS[0])
+    fences.forget(fence_book, EXECUTORS[1], 2 * fences.KEPT_S)
+    assert fences.number(fence_book, EXECUTORS[0]) == 2
 
 
 def test_leaders_of_an_earlier_release_follow_and_are_followed(monkeypatch):
-    """Their terms rise by one, and are their fences."""
+    """Their terms rise by one, and are used as fences unchanged."""
     terms = []
 
     async def next_leads(scene):
@@ -225,7 +226,7 @@
         await curio.sleep(3.0)
         terms.append(_leader(scene).term)
 
-    async def story(scene):
+    async def scenario(scene):
         terms.append(_leader(scene).term)
         with monkeypatch.context() as patch:
             patch.setattr(fences, 'next_term', lambda term: term + 1)
@@ -233,7 +234,7 @@
             await next_leads(scene)
         await next_leads(scene)
 
-    result = build.play(story)
+    result = build.play(scenario)
     ours = fences.next_term(0)
     assert terms == [ours, ours + 1, fences.next_term(ours + 1)]
     assert not result.breaches and not result.unfinished
--- a/tests/test_machine_turns.py
+++ b/tests/test_machine_turns.py
@@ -1,4 +1,4 @@
-"""Tests of how many orders for machines may be sent, and whose turn it is."""
+"""Tests of the rate of machine orders, and of the handover of machines."""
 
 import types
 
@@ -53,38 +53,38 @@
 
 
 def test_later_leader_learns_what_pools_had_before_the_first_move(leader):
-    kept = machine_turns.Announcements(
+    stored = machine_turns.Announcements(
         {'m1': 0.0}, {'drafts': 6}, {'drafts': 384.0}
     )
-    machine_turns.restore(leader, msgspec.json.encode(kept))
+    machine_turns.restore(leader, msgspec.json.encode(stored))
     assert leader.fleet.first_sizes == {'drafts': 6}
     assert leader.fleet.turns.pool_cores == {'drafts': 384.0}
 
 
 def test_pause_is_counted_by_the_age_that_the_writer_told(leader):
-    kept = machine_turns.Announcements(
+    stored = machine_turns.Announcements(
         {'m1': 9e9, 'm2': 0.0, 'm3': 0.0},
         ages_ms={'m1': 0.0, 'm2': 2000.0, 'm3': 4000.0},
     )
-    machine_turns.restore(leader, msgspec.json.encode(kept))
+    machine_turns.restore(leader, msgspec.json.encode(stored))
     assert leader.fleet.turn_after_s == {'m1': 103.5, 'm2': 101.5}
 
 
 def test_announcements_of_an_earlier_release_are_read(leader):
     machine_turns.restore(leader, b'{"wall_ms":{"m1":0.0}}')
-    # How old it is isn't told in a way that can be relied on.
+    # Its age is not known, as times of day are unreliable.
     assert leader.fleet.announced == {'m1': 100.0}
     assert leader.fleet.turn_after_s == {'m1': 103.5}
     assert leader.fleet.first_sizes == {}
 
 
 def test_later_leader_learns_what_may_be_down_for_maintenance(leader):
-    kept = machine_turns.Announcements(
+    stored = machine_turns.Announcements(
         {'m1': 0.0, 'm2': 0.0, 'm3': 0.0},
         ages_ms={'m1': 0.0, 'm2': 0.0, 'm3': 9000.0},
         maintained=['m1', 'm3'],
     )
-    machine_turns.restore(leader, msgspec.json.encode(kept))
+    machine_turns.restore(leader, msgspec.json.encode(stored))
     assert machine_turns.possibly_down(leader) == {'m1'}
     leader.now.s += 4.0
     assert not machine_turns.possibly_down(leader)
--- a/tests/test_many_ends.py
+++ b/tests/test_many_ends.py
@@ -1,16 +1,15 @@
-"""An end that a worker hasn't listed yet must not pass for a run that is gone.
+"""A run whose end is not listed yet must not be taken for lost.
 
-What users would see: tasks that have ended done are started again. Order of
-events: a wide job of short tasks runs on one worker; the store is away, so no
-end can be written and none is acknowledged. A worker lists 500 ends at a time,
-the oldest first, and lists the next ones only once those are acknowledged.
-The run of a task whose end is the 501st stands neither among what runs nor
-among the ends listed. The leader takes it for absent, has it stopped, which
-changes nothing, takes the next report without it for the proof that it is
-over, and starts the task anew.
+Guards against tasks that are done and start again. A wide job of short tasks
+runs on one worker while the store is unavailable, so that no end is written or
+acknowledged. A worker lists 500 ends at a time, the oldest first, and the next
+ones only once those are acknowledged. A run whose end is the 501st is listed
+neither as running nor as ended. The leader orders it stopped, which changes
+nothing, takes the next report without it for proof that it is over, and starts
+the task again.
 
-Cause: absence from a list that isn't whole taken for proof. The same holds
-for a new leader: a worker counts as heard with its first report, whole or not.
+An incomplete list proves no absence. This holds for a new leader as well: a
+worker's first report may be incomplete.
 """
 
 import curio
@@ -21,13 +20,13 @@
 AWAY_S = 8.0
 
 WIDE = {'count': 700, 'cpu': 20, 'mem_mb': 50, 'estimate_ms': 1000}
-"""All of it fits one worker."""
+"""A step all of whose tasks fit on one worker."""
 
 
 def _started_after_done(result):
-    """Give the tasks started after a run was done whose end was noted.
+    """Return the tasks started after a run was done whose end was recorded.
 
-    Whether it was noted by then or later makes no difference.
+    It does not matter whether the end was recorded before or after the start.
     """
     sights = result.evidence.sights
     noted = {
@@ -47,7 +46,7 @@
 
 
 def test_task_whose_end_is_not_listed_yet_is_not_started_again():
-    async def story(scene):
+    async def scenario(scene):
         leader = build.leader(scene)
         await build.hand_in(scene, leader, WIDE)
         await curio.sleep(0.1)
@@ -55,18 +54,18 @@
         await curio.sleep(AWAY_S)
         scene.store.down = ''
 
-    result = build.play(story)
+    result = build.play(scenario)
     assert result.accepted == 1
     assert not result.breaches
     assert not _started_after_done(result)
 
 
 def test_next_leader_starts_nothing_whose_end_is_not_listed_yet():
-    async def story(scene):
+    async def scenario(scene):
         leader = build.leader(scene)
         other = next(row for row in scene.processes if row is not leader)
         await build.hand_in(scene, other, WIDE)
-        # Just before the first ends come.
+        # Just before the first runs end.
         await curio.sleep(0.7)
         scene.store.down = 'busy'
         await curio.sleep(1.0)
@@ -74,7 +73,7 @@
         await curio.sleep(1.0)
         scene.store.down = ''
 
-    result = build.play(story)
+    result = build.play(scenario)
     assert result.accepted == 1
     assert not result.breaches
     assert not _started_after_done(result)
--- a/tests/test_many_moves.py
+++ b/tests/test_many_moves.py
@@ -1,10 +1,10 @@
-"""A turn of demand that asks for more machines at once than connections.
+"""A burst of demand that needs more moves at once than there are connections.
 
-What operators saw: in a fleet of 276 machines nine tenths of all moves had a
-line that their outcome is doubtful, and pools got their machines seconds late.
-Order of events: one pass decides a hundred moves and sends all of them at the
-same time; the platform's interface has sixteen connections; the other calls
-fail before they are sent, and their machines are left alone for a while.
+Guards against moves that fail before they are sent. In a fleet of 276 machines
+nine tenths of all moves were logged as doubtful, and pools got their machines
+seconds late: one pass decided a hundred moves and sent all at the same time
+over the sixteen connections to the platform's interface. The other calls
+failed, and their machines were not moved for a while.
 """
 
 import dataclasses
@@ -27,14 +27,14 @@
 JOBS = 60
 
 ORDERS_PER_S = 200.0
-"""What the platform of a fleet of hundreds takes."""
+"""Rate of orders that the platform of a fleet of hundreds accepts."""
 
 ANSWER_S = 0.005
-"""About what an order takes on a calm day."""
+"""Approximate duration of an order without faults."""
 
 
 def _count_moves(scene, seen: list[int]) -> None:
-    """Note for each move how many were under way as it was sent."""
+    """Record for each move how many were in flight when it was sent."""
     handler = scene.network.handlers[servers.MACHINES_ADDRESS]
     under_way = 0
 
@@ -54,7 +54,7 @@
 def test_no_more_moves_are_under_way_than_there_are_connections():
     seen: list[int] = []
 
-    async def story(scene: build.Scene) -> None:
+    async def scenario(scene: build.Scene) -> None:
         _count_moves(scene, seen)
         leader = build.leader(scene)
         leader.state.settings = msgspec.structs.replace(
@@ -64,7 +64,7 @@
             await build.hand_in(scene, leader, build.step(8, 16000, 1000))
         await curio.sleep(3.0)
 
-    result: day.Result = build.play(story, LARGE)
+    result: day.Result = build.play(scenario, LARGE)
     assert not result.breaches
     assert len(seen) > 2 * transport.MAX_CONNECTIONS
     assert max(seen) <= transport.MAX_CONNECTIONS
--- a/tests/test_relocating.py
+++ b/tests/test_relocating.py
@@ -1,10 +1,10 @@
-"""A long-running task that has to leave a machine finds a place first.
+"""A long-running task leaves a machine only if another one can take it.
 
-What users saw: a wave's last machines were maintained seconds after its time,
-and one long-running task was stopped again and again. Order of events: a
-machine holds two tasks of a step of which one may be away; one is stopped so
-that it starts elsewhere; no other machine of the pool has the memory for it;
-it starts again where it was; five seconds later the same once more.
+Guards against a wave that ends seconds late while one long-running task is
+stopped again and again. A machine runs two tasks of a step of which one may be
+down at a time; one is stopped in order to start elsewhere, but no other
+machine of the pool has the memory for it, so it starts again on the same
+machine, and is stopped once more five seconds later.
 """
 
 import curio
@@ -24,7 +24,7 @@
 WAVE_S = 12.0
 
 
-def _lasting(count, mem_mb):
+def _long_running(count, mem_mb):
     step = build.step(count, 1000, 300)
     step.update(mem_mb=mem_mb, long_running=True, may_miss=1)
     return step
@@ -34,13 +34,17 @@
     starts: list[str] = []
     waves: list[bool] = []
 
-    async def story(scene):
+    async def scenario(scene):
         build.note_starts(scene, starts)
         leader = build.leader(scene)
         memory_mb = scene.fleet.memory_mb
-        await build.hand_in(scene, leader, _lasting(2, memory_mb * 2 // 5))
+        await build.hand_in(
+            scene, leader, _long_running(2, memory_mb * 2 // 5)
+        )
         await curio.sleep(1.0)
-        await build.hand_in(scene, leader, _lasting(1, memory_mb * 4 // 5))
+        await build.hand_in(
+            scene, leader, _long_running(1, memory_mb * 4 // 5)
+        )
         await curio.sleep(2.0)
         crowded = max(set(starts), key=starts.count)
         (machine,) = [
@@ -48,13 +52,13 @@
             for machine in scene.fleet.machines.values()
             if machine.address == crowded
         ]
-        before = machine.executor
+        previous_executor = machine.executor
         await fleets.ask_wave(scene.fleet, [machine.name])
         await curio.sleep(WAVE_S)
-        waves.append(machine.executor is not before)
+        waves.append(machine.executor is not previous_executor)
         starts.append(crowded)
 
-    result = build.play(story, PLAN)
+    result = build.play(scenario, PLAN)
     crowded = starts.pop()
     assert not result.breaches
     assert waves == [True]
--- a/tests/test_restart_defects.py
+++ b/tests/test_restart_defects.py
@@ -1,7 +1,8 @@
-"""What an earlier life leaves behind, kept one at a time, is found.
+"""Planted defects by which state of an incarnation outlives its restart.
 
-Each is remembered of one life of an executor; kept across a restart, it lets
-tasks run twice or ends be lost. Days with the same restarts are clean without.
+Each planted defect keeps one part of an incarnation's state across a restart
+of its executor, so that tasks run twice or ends are lost. Days with the same
+restarts are clean without the defect.
 """
 
 import functools
@@ -25,12 +26,12 @@
 def _ends_are_kept(patch):
     real = restarts._supersede
 
-    def end(leader, former, worker, report):
-        worker.seen_end = max(worker.seen_end, former.seen_end)
-        worker.kept_end = max(worker.kept_end, former.kept_end)
-        return real(leader, former, worker, report)
+    def supersede(leader, previous, worker, report):
+        worker.seen_end = max(worker.seen_end, previous.seen_end)
+        worker.kept_end = max(worker.kept_end, previous.kept_end)
+        return real(leader, previous, worker, report)
 
-    patch.setattr(restarts, '_supersede', end)
+    patch.setattr(restarts, '_supersede', supersede)
 
 
 def _clock_is_kept(patch):
@@ -47,8 +48,8 @@
 
 
 def _all_is_over(patch):
-    def succeed(ledger, former, worker, report, now_s):
-        workers.lost(ledger, former, now_s)
+    def succeed(ledger, previous, worker, report, now_s):
+        workers.lost(ledger, previous, now_s)
         return []
 
     patch.setattr(workers, 'succeed', succeed)
@@ -67,7 +68,7 @@
 def _each_look_acknowledges(patch):
     real = worker_loop.renew_once
 
-    async def look(leader, worker, longest_wait_ms, acknowledge=False):
+    async def renew(leader, worker, longest_wait_ms, acknowledge=False):
         kept, worker.silent_since_s = worker.silent_since_s, None
         try:
             return await real(leader, worker, longest_wait_ms, True)
@@ -75,7 +76,7 @@
             if worker.silent_since_s is None and kept is not None:
                 worker.silent_since_s = worker.gone and kept or None
 
-    patch.setattr(worker_loop, 'renew_once', look)
+    patch.setattr(worker_loop, 'renew_once', renew)
     patch.setattr(worker_loop, 'JUST_ANSWERED_S', math.inf)
 
 
@@ -95,10 +96,10 @@
 
 
 def _without_fences(plant):
-    """Plant a defect that fences hide.
+    """Plant a defect that is hidden by fences, together with fixed fences.
 
-    Two mechanisms guard against late orders; each is shown to be needed, and
-    to do, where the other one fails.
+    Two mechanisms guard against late orders; this shows that each works where
+    the other one fails.
     """
 
     def both(patch):
@@ -115,15 +116,15 @@
     ),
     'takes an id for one life': (
         _ids_are_lives,
-        utils_restarts.ends_of_the_next_life,
+        utils_restarts.ends_of_next_incarnation,
     ),
     'keeps the numbers of ends': (
         _ends_are_kept,
-        utils_restarts.ends_of_the_next_life,
+        utils_restarts.ends_of_next_incarnation,
     ),
     'keeps the clock': (
         _clock_is_kept,
-        utils_restarts.hidden_after_the_restart,
+        utils_restarts.hidden_after_restart,
     ),
     'takes orders under way for over': (
         _without_fences(_all_is_over),
@@ -135,32 +136,32 @@
     ),
     'acknowledges to whoever answers': (
         _each_look_acknowledges,
-        utils_restarts.ends_that_nobody_has_heard_of,
+        utils_restarts.ends_of_unknown_incarnation,
     ),
     'waits for the leases of a life that is over': (
         _former_lives_go_on,
-        functools.partial(utils_restarts.roster_of_the_earlier_life, 0.0),
+        functools.partial(utils_restarts.roster_of_previous_incarnation, 0.0),
     ),
     'concludes without its mark in the store': (
         _mark_is_ignored,
-        utils_restarts.former_leader_beside_the_next_life,
+        utils_restarts.previous_leader_beside_next_incarnation,
     ),
 }
 
 
 def _is_broken(result):
-    """Say whether a rule was, or a task done more than once."""
+    """Return whether a rule was broken or a task done more than once."""
     return bool(result.breaches or utils_restarts.done_twice(result))
 
 
 @pytest.mark.parametrize('name', DEFECTS)
 def test_planted_defect_is_found_and_the_day_is_clean_without(name):
-    plant, story = DEFECTS[name]
+    plant, scenario = DEFECTS[name]
     with pytest.MonkeyPatch.context() as patch:
         plant(patch)
-        result = story()
+        result = scenario()
         assert _is_broken(result) or result.unfinished
-    assert not _is_broken(story())
+    assert not _is_broken(scenario())
 
 
 @pytest.mark.parametrize('restart_s', [0.3, 3.0])
--- a/tests/test_restart_moments.py
+++ b/tests/test_restart_moments.py
@@ -1,8 +1,8 @@
-"""Executors that start again under their id in the middle of something.
+"""Executors that restart under their id in the middle of an operation.
 
-A gang whose members are apart, a drain, a stop that is under way, a run that
-is paced down, a task under which workers crash: nothing may run twice or be
-left open. At another address, the next life is met by its entry.
+Covers a gang spread over several workers, a drain, a stop in flight, a
+throttled run, and a task that crashes its workers: nothing may run twice or
+stay open. An executor that restarts at another address is found by its entry.
 """
 
 import curio
@@ -24,7 +24,7 @@
 
 
 def _busy(scene):
-    """Give the machines whose executor runs something."""
+    """Return the machines whose executor runs something."""
     return [
         machine
         for machine in scene.fleet.machines.values()
@@ -38,19 +38,19 @@
 
 @pytest.mark.parametrize('away_s', AWAY_S)
 def test_one_of_a_gangs_executors_starts_again(away_s):
-    async def story(scene):
+    async def scenario(scene):
         await build.hand_in(scene, build.leader(scene), GANG)
         await curio.sleep(0.5)
         await _restart(scene, _busy(scene)[1], away_s)
 
-    result = utils_restarts.play(story)
+    result = utils_restarts.play(scenario)
     _check(result)
     assert len(result.waits_s) == 1
 
 
 @pytest.mark.parametrize('away_s', AWAY_S)
 def test_executor_starts_again_while_it_drains(away_s):
-    async def story(scene):
+    async def scenario(scene):
         await build.hand_in(scene, build.leader(scene), utils_restarts.LONG)
         await curio.sleep(0.5)
         (machine,) = _busy(scene)
@@ -58,13 +58,13 @@
         await curio.sleep(1.0)
         await _restart(scene, machine, away_s)
 
-    _check(utils_restarts.play(story))
+    _check(utils_restarts.play(scenario))
 
 
 @pytest.mark.parametrize('away_s', AWAY_S)
 @pytest.mark.parametrize('after_s', [0.0, 0.05, 0.15])
 def test_executor_starts_again_while_a_stop_is_under_way(away_s, after_s):
-    async def story(scene):
+    async def scenario(scene):
         prefix = build.day.prefix('drafts')
         await curio.spawn(
             build.callers_.hand_in,
@@ -81,12 +81,12 @@
         for machine in _busy(scene):
             await _restart(scene, machine, away_s)
 
-    result = utils_restarts.play(story)
+    result = utils_restarts.play(scenario)
     _check(result)
 
 
 @pytest.mark.parametrize('away_s', AWAY_S)
-def test_executor_starts_again_beside_a_pace(away_s):
+def test_executor_restarts_beside_a_throttled_run(away_s):
     serving = {
         **build.step(3, 4000, 700),
         'long_running': True,
@@ -95,7 +95,7 @@
     }
     filling = {**build.step(6, 8000, 800), 'fills': True, 'image': 'grind'}
 
-    async def story(scene):
+    async def scenario(scene):
         leader = build.leader(scene)
         await build.hand_in(scene, leader, serving)
         await curio.sleep(1.0)
@@ -103,31 +103,31 @@
         await curio.sleep(1.0)
         await _restart(scene, _busy(scene)[0], away_s)
 
-    _check(utils_restarts.play(story))
+    _check(utils_restarts.play(scenario))
 
 
 @pytest.mark.parametrize('away_s', AWAY_S)
 def test_executor_starts_again_under_a_task_that_crashes_others(away_s):
     step = {**build.step(4, 2000, 400), crashing.FIELD: crashing.crash(0.3)}
 
-    async def story(scene):
+    async def scenario(scene):
         await build.hand_in(scene, build.leader(scene), step)
         await curio.sleep(0.1)
         for machine in _busy(scene):
             await _restart(scene, machine, away_s)
 
-    _check(utils_restarts.play(story))
+    _check(utils_restarts.play(scenario))
 
 
 @pytest.mark.parametrize('away_s', AWAY_S)
 def test_executor_starts_again_at_another_address(away_s):
-    async def story(scene):
+    async def scenario(scene):
         await build.hand_in(scene, build.leader(scene), utils_restarts.LONG)
         await curio.sleep(0.5)
         (machine,) = _busy(scene)
-        former = machine.address
+        old_address = machine.address
         machine.address = '10.1.9.9:1'
-        scene.network.handlers.pop(former)
+        scene.network.handlers.pop(old_address)
         await _restart(scene, machine, away_s)
 
-    _check(utils_restarts.play(story))
+    _check(utils_restarts.play(scenario))
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,13 +1,14 @@
-"""An executor that starts again under the id that it had.
+"""An executor that restarts under the same id.
 
-What callers would see: tasks that run twice or after their end, and ends that
-are lost, so that done work is done again. An id was taken for one life of an
-executor. Its next life holds and knows nothing of before: its ends count from
-one again, its clock starts anew, and it has seen no term.
+Guards against tasks that run twice or after their end, and against lost ends,
+by which done work is repeated. The cause was that an id was taken for a single
+incarnation of an executor. The next incarnation has no state of the previous
+one: its ends count from one again, its clock starts anew, and it has seen no
+term.
 
-With an id taken for one life, nine of the stories here break TWICE, lose ends
-or start nothing again (planted, see `test_restart_defects`); of 40 emulated
-days with three such restarts (lab seeds 60000 to 60039 with `--trouble-count 2
+With that defect planted (see `test_restart_defects`), nine of the scenarios
+here break TWICE, lose ends or never start a task again; of 40 emulated days
+with three such restarts (lab seeds 60000 to 60039 with `--trouble-count 2
 --restart-count 3`) one broke TWICE.
 """
 
@@ -25,101 +26,106 @@
 from tests import utils_takeover as build
 
 AGAIN_S = 3.0
-"""A restart that cuts no connection is found as the call that waits there is
-given up, after 1 s of waiting and 0.8 s; then the task starts at once."""
+"""A restart that cuts no connection is detected when the pending renewal times
+out, after a wait of 1 s and a timeout of 0.8 s; the task then starts at
+once."""
 
 
 @pytest.mark.parametrize('away_s', [0.0, 0.3, 2.0])
 def test_task_runs_again_soon_after_its_executors_restart(away_s):
     times_s = []
 
-    async def story(scene):
+    async def scenario(scene):
         begun = await restarts.begin(scene, restarts.LONG)
         await restarts.restart(scene, begun[0], away_s)
-        times_s.append(await restarts.begun_again(scene, begun))
+        times_s.append(await restarts.wait_for_second_start(scene, begun))
 
-    result = restarts.play(story)
+    result = restarts.play(scenario)
     assert not result.breaches
     assert times_s[0] < AGAIN_S
 
 
 def test_restart_that_cuts_its_connections_is_found_at_once():
-    """As a machine does whose process ends; the figure is in DESIGN.md."""
+    """A process that ends resets its connections; DESIGN.md has the figure."""
     times_s = []
 
-    async def story(scene):
+    async def scenario(scene):
         begun = await restarts.begin(scene, restarts.LONG)
         await restarts.restart(scene, begun[0], 0.05, resets=True)
-        times_s.append(await restarts.begun_again(scene, begun))
+        times_s.append(await restarts.wait_for_second_start(scene, begun))
 
-    result = restarts.play(story)
+    result = restarts.play(scenario)
     assert not result.breaches
     assert times_s[0] < 0.3
 
 
-def test_ends_of_the_next_life_are_read():
-    """Its first ends have numbers that its earlier life used up."""
-    shown = []
-    result = restarts.ends_of_the_next_life(shown)
+def test_ends_of_the_next_incarnation_are_read():
+    """Its first ends have numbers that the previous incarnation used."""
+    ended_counts = []
+    result = restarts.ends_of_next_incarnation(ended_counts)
     assert not result.breaches
-    assert shown == [19]
+    assert ended_counts == [19]
     assert not restarts.done_twice(result)
 
 
 @pytest.mark.parametrize('restart_s', [0.3, 3.0])
-def test_late_order_of_the_earlier_life_is_refused_by_the_next(restart_s):
-    """The next life knows nothing of the stop before."""
+def test_late_order_of_the_earlier_incarnation_is_refused_by_the_next(
+    restart_s,
+):
+    """The next incarnation does not know of the stop before."""
     assert not restarts.late_order(restart_s).breaches
 
 
-def test_ends_of_a_life_that_nobody_has_heard_of_are_not_forgotten():
-    result = restarts.ends_that_nobody_has_heard_of()
+def test_ends_of_an_unknown_incarnation_are_not_lost():
+    result = restarts.ends_of_unknown_incarnation()
     assert not result.breaches
     assert not result.unfinished
 
 
 @pytest.mark.parametrize('away_s', [0.05, 2.0])
-def test_entry_of_the_earlier_life_that_comes_last(away_s):
-    async def story(scene):
+def test_entry_of_the_earlier_incarnation_that_comes_last(away_s):
+    async def scenario(scene):
         begun = await restarts.begin(scene, restarts.LONG)
         await restarts.restart(scene, begun[0], away_s, late_entry=True)
         await curio.sleep(5.0)
 
-    result = restarts.play(story)
+    result = restarts.play(scenario)
     assert not result.breaches
     assert len(result.evidence.sights) > 0
 
 
-def test_twice_in_a_row():
-    async def story(scene):
+def test_two_restarts_in_a_row():
+    async def scenario(scene):
         begun = await restarts.begin(scene, restarts.LONG)
         await restarts.restart(scene, begun[0], 0.05)
         await curio.sleep(0.1)
         await restarts.restart(scene, begun[0], 0.05)
         await curio.sleep(5.0)
 
-    assert not restarts.play(story).breaches
+    assert not restarts.play(scenario).breaches
 
 
 @pytest.mark.parametrize('gap_s', [0.0, 0.5, 1.5, 2.5])
-def test_next_leader_that_reads_a_roster_of_the_earlier_life(gap_s):
-    """Tasks of both lives are held back until the next one has told."""
-    led = []
-    assert not restarts.roster_of_the_earlier_life(gap_s, led).breaches
-    assert led == [2]
-
-
-def test_former_leader_that_talks_to_the_next_life():
-    """It sees another life answer, and may not conclude from it."""
-    assert not restarts.former_leader_beside_the_next_life().breaches
-
-
-def test_answers_that_cross_leave_open_which_life_is_later():
-    """An answer of one life came after the call that the other answers."""
-    former = jobs.worker('w1/1')
-    former.met_s, former.clock_at_s = 1.0, 5.0
-    assert not restarts_.is_earlier(former, 4.9)
-    assert restarts_.is_earlier(former, 5.0)
+def test_next_leader_that_reads_a_roster_of_the_earlier_incarnation(gap_s):
+    """Tasks of both incarnations wait until the next one has reported."""
+    start_counts = []
+    assert not restarts.roster_of_previous_incarnation(
+        gap_s, start_counts
+    ).breaches
+    assert start_counts == [2]
+
+
+def test_previous_leader_that_reaches_the_next_incarnation():
+    """It sees another incarnation answer, and must not act on that."""
+    assert not restarts.previous_leader_beside_next_incarnation().breaches
+
+
+def test_crossing_answers_leave_open_which_incarnation_is_later():
+    """One incarnation answered after the call that the other answers."""
+    previous = jobs.worker('w1/1')
+    previous.met_s, previous.clock_at_s = 1.0, 5.0
+    assert not restarts_.is_earlier(previous, 4.9)
+    assert restarts_.is_earlier(previous, 5.0)
     never = jobs.worker('w1/2')
     never.met_s = 3.0
     assert not restarts_.is_earlier(never, 2.9)
@@ -127,7 +133,7 @@
 
 
 def test_restart_while_the_store_is_away():
-    async def story(scene):
+    async def scenario(scene):
         begun = await restarts.begin(scene, restarts.LONG)
         scene.store.down = 'silent'
         await curio.sleep(1.0)
@@ -136,14 +142,14 @@
         scene.store.down = ''
         await curio.sleep(5.0)
 
-    assert not restarts.play(story).breaches
+    assert not restarts.play(scenario).breaches
 
 
 def test_another_pool_under_the_same_id():
-    """It belongs where its own entry says, once that has come."""
+    """The worker belongs to the pool of its own entry, once that is read."""
     seen = []
 
-    async def story(scene):
+    async def scenario(scene):
         begun = await restarts.begin(scene, restarts.LONG)
         machine = restarts.machine_at(scene, begun[0])
         machine.pool = 'finals'
@@ -157,7 +163,7 @@
                 seen.append((entry.service, entry.labels, worker.listed))
 
     plan_pools = ('drafts', 'finals')
-    result = build.play(story, restarts.with_pools(plan_pools))
+    result = build.play(scenario, restarts.with_pools(plan_pools))
     assert not result.breaches
     assert seen == [('finals', ('b', 'r9'), True)]
 
@@ -166,11 +172,11 @@
 def test_birth_that_is_no_whole_number_costs_no_other_executor(
     born, monkeypatch
 ):
-    """An answer that isn't understood; an entry that names nobody to use."""
+    """A report that cannot be decoded, and an entry that cannot be used."""
     events = utils_leading.record_events(monkeypatch)
     spoiled = []
 
-    async def story(scene):
+    async def scenario(scene):
         await curio.sleep(0.1)
         machine = next(iter(scene.fleet.machines.values()))
         key = executors.key(machine.executor)
@@ -189,7 +195,7 @@
         ]
         spoiled.append(len(listed))
 
-    restarts.play(story)
+    restarts.play(scenario)
     assert spoiled[1] == 2
     assert any(
         event == 'malformed' and fields['worker'] == spoiled[0]
@@ -197,31 +203,32 @@
     )
 
 
-def test_lease_in_the_next_life_goes_by_its_own_clock():
-    assert not restarts.hidden_after_the_restart().breaches
+def test_lease_of_the_next_incarnation_goes_by_its_own_clock():
+    assert not restarts.hidden_after_restart().breaches
 
 
 @pytest.mark.parametrize('seed', [60005, 60011, 61001])
 def test_drawn_days_with_restarts(seed):
-    """Days that broke TWICE.
+    """Days that broke TWICE, each by another defect.
 
-    With an id taken for one life; with all of an earlier life taken for over;
-    with an order in doubt forgotten that was answered by nobody while its
-    executor started again, so that a third life carried it out.
+    An id was taken for a single incarnation; all runs of an earlier
+    incarnation were taken for ended; an unconfirmed order was dropped when its
+    executor restarted before answering it, and a third incarnation carried it
+    out.
     """
     result = restarts.lab_day(seed)
     assert not result.breaches
     assert not result.unfinished
 
 
-def test_leader_is_told_apart_by_life():
-    """The dump and the log name the life."""
+def test_workers_are_named_by_incarnation():
+    """The dump and the log name the incarnation."""
     names = []
 
-    async def story(scene):
+    async def scenario(scene):
         leader = build.leader(scene)
         names.extend(leader.state.leader.workers)
         assert servers.leads(leader)
 
-    restarts.play(story)
+    restarts.play(scenario)
     assert names and all('/' in name for name in names)
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -1,14 +1,12 @@
-"""Workers that were lost and are met again, and the rosters in the store.
-
-A leader writes which workers it may give tasks before it gives any: the next
-leader waits for those, and for no others. What goes wrong: a worker falls
-silent, its lease ends, and the roster is written without it. It answers again
-and gets a task before the roster names it again. The leader dies; the next
-one doesn't know of that worker, doesn't reach it, and starts the task
-elsewhere: two runs at once.
-
-Cause: what a leader remembered of the rosters that it had written only grew.
-Evidence: the roster in the store as the worker begins the task.
+"""Workers that were lost and return, and the lists of workers in the store.
+
+A leader persists the list of workers that may get tasks before it gives any:
+the next leader waits for these workers only. The tests guard against a task
+that runs twice. A worker falls silent, its lease ends, and the list is written
+without it. It answers again and gets a task before the list names it again.
+The leader dies; the next one does not know that worker, cannot reach it, and
+starts the task elsewhere. This happened as a leader only ever added to its
+record of the workers it had listed.
 """
 
 import curio
@@ -20,46 +18,45 @@
 WORKER = 'm1'
 
 HIDDEN_S = 9.0
-"""Longer than a worker's lease and its entry last."""
+"""Longer than the lifetimes of a worker's lease and entry."""
 
 ROSTER = 'ow/workers/drafts'
 
-WHOLE = build.step(1, 16000, 4000)
-"""A task that takes all of a machine."""
-
+WHOLE_MACHINE = build.step(1, 16000, 4000)
+"""A task that takes a whole machine."""
 
 SLOW_S = (0.0, 0.05, 0.3)
-"""Times by which the store's answers are late as the worker comes back."""
+"""Delays of the store's answers while the worker returns."""
 
 
 def _play(slow_s: float, act):
-    """Let the worker come back as each machine is wanted.
+    """Let the worker return while every machine is needed.
 
-    :param slow_s: time by which the store's answers are late then
+    :param slow_s: delay of the store's answers meanwhile
     :param act: awaited at each start on that worker
     """
 
-    async def story(scene):
+    async def scenario(scene):
         machine = scene.fleet.machines[WORKER]
         await curio.spawn(fleets.hide, machine, HIDDEN_S, daemon=True)
         await curio.sleep(HIDDEN_S - 0.5)
         assert _named(scene) == []
         leader = build.leader(scene)
         build.on_start(scene, WORKER, lambda: act(scene, leader))
-        # The one that hands in asks on; the leader may die meanwhile.
+        # Jobs are submitted to another server, as the leader may die.
         other = next(row for row in scene.processes if row is not leader)
         for _ in scene.fleet.machines:
-            await build.hand_in(scene, other, WHOLE)
+            await build.hand_in(scene, other, WHOLE_MACHINE)
         await curio.sleep(0.4)
         scene.store.slow_s = slow_s
         await curio.sleep(3.0)
         scene.store.slow_s = 0.0
 
-    return build.play(story)
+    return build.play(scenario)
 
 
 def _named(scene) -> list[str]:
-    """Give the worker's names in the roster that lies in the store."""
+    """Return the worker's name if the list in the store contains it."""
     roster = scene.store.items[ROSTER].value.decode()
     return [name for name in (f'i-{WORKER}-1',) if name in roster]
 
@@ -67,22 +64,22 @@
 def test_worker_gets_no_task_before_the_roster_names_it():
     named = []
 
-    async def look(scene, leader):
+    async def note_named(scene, leader):
         named.append(_named(scene))
 
     for slow_s in SLOW_S:
-        result = _play(slow_s, look)
+        result = _play(slow_s, note_named)
         assert not result.breaches and not result.unfinished
     assert len(named) >= len(SLOW_S) and all(named)
 
 
 def test_next_leader_waits_for_a_worker_that_was_lost_and_met_again():
-    struck = []
+    cut_leaders = []
 
-    async def strike(scene, leader):
-        if struck:
+    async def cut_off(scene, leader):
+        if cut_leaders:
             return
-        struck.append(leader.name)
+        cut_leaders.append(leader.name)
         address = scene.fleet.machines[WORKER].address
         for process in scene.processes:
             if process is not leader:
@@ -90,21 +87,20 @@
         await curio.spawn(servers.kill, scene.network, leader, daemon=True)
 
     for slow_s in SLOW_S:
-        struck.clear()
-        result = _play(slow_s, strike)
-        assert struck
+        cut_leaders.clear()
+        result = _play(slow_s, cut_off)
+        assert cut_leaders
         assert not result.breaches and not result.unfinished
 
 
 def test_worker_that_is_met_as_a_roster_is_written_gets_tasks():
-    """Its row has to be written after the write that is under way.
+    """It has to be added by another write after the one in flight.
 
-    What is lost otherwise is the worker: it gets nothing until another one of
-    its pool comes or goes.
+    Otherwise it gets no tasks until another worker of its pool comes or goes.
     """
     begun = []
 
-    async def story(scene):
+    async def scenario(scene):
         for machine in scene.fleet.machines.values():
             executor = machine.executor
             await curio.spawn(fleets.crash, scene.fleet, machine, 2.0)
@@ -121,8 +117,8 @@
         for name in scene.fleet.machines:
             build.on_start(scene, name, lambda name=name: note(name))
         for _ in scene.fleet.machines:
-            await build.hand_in(scene, build.leader(scene), WHOLE)
+            await build.hand_in(scene, build.leader(scene), WHOLE_MACHINE)
 
-    result = build.play(story)
+    result = build.play(scenario)
     assert not result.breaches and not result.unfinished
     assert len(set(begun)) == 3
--- a/tests/test_tickets_at_expiry.py
+++ b/tests/test_tickets_at_expiry.py
@@ -1,15 +1,14 @@
-"""A start that was decided by a ticket has to carry it.
+"""A start that was decided by a ticket carries that ticket.
 
-What users would see: starts refused for want of a ticket, each with its
-price, when advice is asked for anew. Order of events: a start is decided by
-a ticket that is valid for some tenths of a second more, and waits behind
-another order for its worker. The advice counts as expired, and is asked for
-anew; the start is sent without its ticket and refused. That refusal makes
-the new advice count as expired too.
+Guards against starts that are refused for a missing ticket while advice is
+being renewed. A start is decided by a ticket that is valid for a few tenths of
+a second more, and waits behind another order for its worker. The advice
+expires and is requested again, which drops the tickets. If the start took its
+ticket only when it was sent, it would be sent without one and refused, and the
+refusal would make the new advice count as expired too.
 
-Cause: tickets are dropped as the question is sent, and a start takes its
-ticket only as it is sent itself. That tickets are taken for expired earlier
-than the platform does is of use just for what is under way.
+Tickets are taken for expired earlier than by the platform so that starts in
+flight can still use them.
 """
 
 import curio
@@ -28,7 +27,7 @@
 CONFIGURATION = day.configuration(('drafts',))
 
 ANSWER_S = 0.3
-"""Time that the advice service takes."""
+"""Time that the advice service takes to answer."""
 
 
 def test_start_under_way_carries_the_ticket_by_which_it_was_decided(
--- a/tests/test_turns_of_machines.py
+++ b/tests/test_turns_of_machines.py
@@ -1,14 +1,11 @@
-"""The pause between two leaders' orders for one machine, by whose clock?
-
-What users would see: two servers order one machine within the pause that the
-platform wants between them (rule ONE). Order of events: the time of day of
-the leader's machine is 2.4 s behind. It announces an order, with its time of
-day, sends it, and yields to a larger server. The next leader, whose clock is
-right, takes the announcement for 2.4 s old, and orders the machine when that
-much of the pause is missing.
-
-Cause: the age of an announcement is taken from the difference of two
-machines' times of day, which jump by seconds; 0.5 s are allowed for.
+"""The pause between two leaders' orders for a machine ignores the time of day.
+
+Guards against two servers that order one machine within the pause that the
+platform requires between them (rule ONE). The leader's time of day is 2.4 s
+behind. It announces an order with that time, sends it, and yields to a larger
+server. The next leader, whose clock is right, takes the announcement for 2.4 s
+old and orders the machine that much too early. The times of day of two
+machines may differ by seconds, and only 0.5 s are allowed for.
 """
 
 import curio
@@ -23,32 +20,32 @@
 BEHIND_MS = (0.0, 2400.0)
 
 
-def _story(behind_ms, ordered):
-    async def story(scene):
-        former = build.leader(scene)
+def _scenario(behind_ms, ordered):
+    async def scenario(scene):
+        previous = build.leader(scene)
         handler = scene.network.handlers[servers.MACHINES_ADDRESS]
-        right = clock.wall_ms
+        right_wall_ms = clock.wall_ms
 
         async def note(source, method, *rest):
             answer = await handler(source, method, *rest)
-            if method == 'POST' and source == former.name:
+            if method == 'POST' and source == previous.name:
                 ordered.append(rest)
             return answer
 
         scene.network.handlers[servers.MACHINES_ADDRESS] = note
-        clock.wall_ms = lambda: right() - behind_ms
+        clock.wall_ms = lambda: right_wall_ms() - behind_ms
         await fleets.ask_wave(scene.fleet, ['m1'])
         while not ordered:
             await curio.sleep(0.001)
-        clock.wall_ms = right
-        await states.depose(former.state.leader, 'a larger server is there')
+        clock.wall_ms = right_wall_ms
+        await states.depose(previous.state.leader, 'a larger server is there')
 
-    return story
+    return scenario
 
 
 @pytest.mark.parametrize('behind_ms', BEHIND_MS)
 def test_pause_is_kept_whatever_the_time_of_day_is(behind_ms):
     ordered = []
-    result = build.play(_story(behind_ms, ordered))
+    result = build.play(_scenario(behind_ms, ordered))
     assert ordered
     assert not result.breaches
--- a/tests/utils_restarts.py
+++ b/tests/utils_restarts.py
@@ -1,4 +1,4 @@
-"""Executors that start again under their id, in virtual time."""
+"""Scenarios of executors that restart under their id, in virtual time."""
 
 import collections
 import dataclasses
@@ -18,24 +18,24 @@
 PLAN = dataclasses.replace(build.PLAN, tells_births=True)
 
 
-def play(story):
-    """Let ``story(scene)`` act while executors tell when they were born."""
-    return build.play(story, PLAN)
+def play(scenario):
+    """Run ``scenario(scene)`` with executors that report their birth time."""
+    return build.play(scenario, PLAN)
 
 
 def with_pools(pools) -> day.Plan:
-    """Give the same day with some pools."""
+    """Return the plan of the same day with other pools."""
     return dataclasses.replace(PLAN, pools=pools)
 
 
 def machine_at(scene, address) -> fleets.Machine:
-    """Give the machine of an address."""
+    """Return the machine with an address."""
     rows = scene.fleet.machines.values()
     return next(row for row in rows if row.address == address)
 
 
 def done_twice(result) -> list[str]:
-    """Name the tasks that were done more than once."""
+    """Return the names of the tasks that were done more than once."""
     done = collections.Counter(
         sight.task
         for sight in result.evidence.sights
@@ -49,7 +49,7 @@
 
 
 async def begin(scene, step) -> list[str]:
-    """Start a job; gives the addresses at which tasks begin, as they do."""
+    """Start a job; return a list that receives the address of each start."""
     begun: list[str] = []
     build.note_starts(scene, begun)
     await build.hand_in(scene, build.leader(scene), step)
@@ -58,7 +58,7 @@
 
 
 async def hand_in_brief(scene, jobs) -> None:
-    """Hand in jobs of three tasks that take some milliseconds."""
+    """Submit jobs of three tasks that each take some milliseconds."""
     leader = build.leader(scene)
     for _ in range(jobs):
         await build.hand_in(scene, leader, build.step(3, 16000, BRIEF_MS))
@@ -67,51 +67,53 @@
 async def restart(
     scene, address, away_s=0.05, late_entry=False, resets=False
 ) -> None:
-    """Let the executor at an address start again under its id."""
+    """Restart the executor at an address under its id."""
     machine = machine_at(scene, address)
     await fleets.restart(scene.fleet, machine, away_s, late_entry, resets)
 
 
-async def hold_up_entries(scene, for_s) -> None:
-    """Let no server hear of workers' entries for a while from now."""
+async def delay_entries(scene, for_s) -> None:
+    """Delay the store's answers on workers' entries for a while."""
     until_s = await curio.clock() + for_s
     handler = scene.network.handlers[servers.STORE_ADDRESS]
 
-    async def later(source, method, target, *rest):
+    async def answer_later(source, method, target, *rest):
         answer = await handler(source, method, target, *rest)
         if 'servers%2F' in target:
             await curio.sleep(max(0.0, until_s - await curio.clock()))
         return answer
 
-    scene.network.handlers[servers.STORE_ADDRESS] = later
+    scene.network.handlers[servers.STORE_ADDRESS] = answer_later
 
 
-async def begun_again(scene, begun, most_s=10.0) -> float:
-    """Wait for a second start; gives how long it took."""
+async def wait_for_second_start(scene, begun, max_s=10.0) -> float:
+    """Wait for a second start, and return how long it took."""
     from_s = await curio.clock()
-    while len(begun) < 2 and await curio.clock() < from_s + most_s:
+    while len(begun) < 2 and await curio.clock() < from_s + max_s:
         await curio.sleep(0.001)
     return await curio.clock() - from_s
 
 
-def make_late(
-    scene, address, after_s, meant='/run-start', asks=None, late=None
+def delay_order(
+    scene, address, after_s, path='/run-start', matches=None, delayed=None
 ) -> list[str]:
-    """Let the first order at an address be carried out some time later.
+    """Delay the first matching order at an address.
 
-    Gives the addresses of the orders that were made late.
-
-    :param meant: what is ordered
-    :param asks: says whether an order's content is the one; None: each is
-    :param late: of several addresses, where one order is made late in all
+    :param path: path of the order
+    :param matches: predicate on the body of an order; None: any body matches
+    :param delayed: list shared by several addresses, so that one order is
+        delayed in all
+    :return: list that receives the address of the delayed order
     """
     handler = scene.network.handlers[address]
-    late = [] if late is None else late
+    delayed = [] if delayed is None else delayed
 
     async def handle(source, method, target, body, headers):
-        wanted = target == meant and (asks is None or asks(json.loads(body)))
-        if wanted and not late:
-            late.append(address)
+        is_match = target == path and (
+            matches is None or matches(json.loads(body))
+        )
+        if is_match and not delayed:
+            delayed.append(address)
             await networks.carry_out_later(
                 scene.network,
                 after_s,
@@ -121,30 +123,29 @@
         return await handler(source, method, target, body, headers)
 
     scene.network.handlers[address] = handle
-    return late
+    return delayed
 
 
 def executor_addresses(scene) -> list[str]:
-    """Give the addresses of all executors that are there."""
+    """Return the addresses of all present executors."""
     machines = scene.fleet.machines.values()
     return [row.address for row in machines if row.executor is not None]
 
 
-def make_one_late(scene, after_s, meant='/run-start', asks=None) -> list[str]:
-    """Let the first order at any address be carried out some time later.
-
-    As ``make_late``; gives that address, once the order was sent.
-    """
-    late: list[str] = []
+def make_one_late(
+    scene, after_s, path='/run-start', matches=None
+) -> list[str]:
+    """Delay the first matching order at any address; see ``delay_order``."""
+    delayed: list[str] = []
     for address in executor_addresses(scene):
-        make_late(scene, address, after_s, meant, asks, late)
-    return late
+        delay_order(scene, address, after_s, path, matches, delayed)
+    return delayed
 
 
 def note_late(scene, address) -> list[str]:
-    """Give how orders end that are carried out late at an address.
+    """Return a list that receives the outcomes of late orders at an address.
 
-    By the reason of a refusal; '' if one was carried out.
+    An outcome is the reason of a refusal; '' if the order was carried out.
     """
     handler = scene.network.handlers[address]
     outcomes: list[str] = []
@@ -159,13 +160,13 @@
     return outcomes
 
 
-def ends_of_the_next_life(shown=None):
-    """Let executors start again that have ended 37 tasks.
+def ends_of_next_incarnation(ended_counts=None):
+    """Restart executors that have ended 37 tasks.
 
-    :param shown: gets how many jobs were shown as ended
+    :param ended_counts: receives the number of jobs shown as ended
     """
 
-    async def story(scene):
+    async def scenario(scene):
         begun = await begin(scene, build.step(1, 16000, BRIEF_MS))
         await hand_in_brief(scene, 12)
         await curio.sleep(3.0)
@@ -173,20 +174,20 @@
             await restart(scene, address, 0.0)
         await hand_in_brief(scene, 6)
         await curio.sleep(8.0)
-        if shown is not None:
-            shown.append(len(scene.callers.finished_s))
+        if ended_counts is not None:
+            ended_counts.append(len(scene.callers.finished_s))
 
-    return play(story)
+    return play(scenario)
 
 
-def ends_that_nobody_has_heard_of():
-    """Let orders reach the next life before its entry comes or it is asked."""
+def ends_of_unknown_incarnation():
+    """Send orders to an incarnation that no server knows of yet."""
 
-    async def story(scene):
+    async def scenario(scene):
         begun = await begin(scene, build.step(1, 16000, BRIEF_MS))
         await hand_in_brief(scene, 9)
         await curio.sleep(4.0)
-        await hold_up_entries(scene, 6.0)
+        await delay_entries(scene, 6.0)
         await curio.sleep(1.0)
         for address in sorted(set(begun)):
             await restart(scene, address, 0.0)
@@ -195,110 +196,112 @@
             await curio.sleep(0.3)
         await curio.sleep(8.0)
 
-    return play(story)
+    return play(scenario)
 
 
 def late_order(restart_s):
-    """Let an order without an answer be carried out by the next life.
+    """Let the next incarnation carry out an order that got no answer.
 
-    :param restart_s: when it starts again after the order; after 0.3 s that is
-        in doubt, after 3 s it was looked for, the run was stopped there, and
-        the task runs elsewhere
+    :param restart_s: time from the order to the restart; after 0.3 s the order
+        is unconfirmed, after 3 s the worker was asked about it, its run was
+        stopped there, and the task runs elsewhere
     """
-    late = []
+    delayed = []
 
-    async def story(scene):
+    async def scenario(scene):
         for machine in scene.fleet.machines.values():
             if machine.executor is not None:
-                rows = make_late(scene, machine.address, 9.0)
-                late.append((machine.address, rows))
+                rows = delay_order(scene, machine.address, 9.0)
+                delayed.append((machine.address, rows))
         await build.hand_in(scene, build.leader(scene), LONG)
         await curio.sleep(restart_s)
-        struck = [address for address, rows in late if rows]
-        await restart(scene, struck[0], 0.05)
+        hit = [address for address, rows in delayed if rows]
+        await restart(scene, hit[0], 0.05)
         await curio.sleep(10.0)
 
-    return play(story)
+    return play(scenario)
 
 
 def late_acknowledgement():
-    """Let an acknowledgement to one life be carried out by the next.
+    """Let the next incarnation carry out an acknowledgement of ends.
 
-    By then it has ended tasks, and nobody reaches it for a while.
+    By then that incarnation has ended tasks, and no server reaches it for a
+    while.
     """
 
-    async def story(scene):
-        late = make_one_late(
+    async def scenario(scene):
+        delayed = make_one_late(
             scene, 6.0, '/hold', lambda asked: asked['last_seen'] > 0
         )
         await hand_in_brief(scene, 1)
-        while not late:
+        while not delayed:
             await curio.sleep(0.01)
         await curio.sleep(1.5)
-        await restart(scene, late[0], 0.05)
+        await restart(scene, delayed[0], 0.05)
         await curio.sleep(1.0)
         await build.hand_in(
             scene, build.leader(scene), build.step(6, 8000, 1000)
         )
         await curio.sleep(0.3)
-        cuts = {(process.name, late[0]) for process in scene.processes}
+        cuts = {(process.name, delayed[0]) for process in scene.processes}
         scene.network.cuts |= cuts
         await curio.sleep(3.5)
         scene.network.cuts -= cuts
         await curio.sleep(6.0)
 
-    return play(story)
+    return play(scenario)
 
 
-def roster_of_the_earlier_life(gap_s, led=None):
-    """Let an executor start again while another server comes to lead.
+def roster_of_previous_incarnation(gap_s, start_counts=None):
+    """Restart an executor while another server takes over.
 
-    :param led: gets the number of starts
+    :param gap_s: time between the leader's death and the restart
+    :param start_counts: receives the number of starts
     """
 
-    async def story(scene):
+    async def scenario(scene):
         begun = await begin(scene, LONG)
         await build.kill(scene, build.leader(scene))
         await curio.sleep(gap_s)
         await restart(scene, begun[0], 0.05)
         await curio.sleep(10.0)
-        if led is not None:
-            led.append(len(begun))
+        if start_counts is not None:
+            start_counts.append(len(begun))
 
-    return play(story)
+    return play(scenario)
 
 
-def former_leader_beside_the_next_life():
-    """Let a former leader alone reach the next life.
+def previous_leader_beside_next_incarnation():
+    """Let only the previous leader reach the next incarnation.
 
-    The end in the life before was read by the next leader.
+    The end of the run in the incarnation before was read by the next leader.
     """
 
-    async def story(scene):
-        former = build.leader(scene)
+    async def scenario(scene):
+        previous = build.leader(scene)
         begun = await begin(scene, build.step(1, 16000, 3_000))
-        second, third = [row for row in scene.processes if row is not former]
+        second, third = [row for row in scene.processes if row is not previous]
         idle = next(
             machine.address
             for machine in scene.fleet.machines.values()
             if machine.address != begun[0]
         )
-        build.cut_apart(scene, [former, second], [third], idle)
+        build.cut_apart(scene, [previous, second], [third], idle)
         await curio.sleep(5.0)
         scene.network.cuts.add((third.name, begun[0]))
-        scene.network.cuts.discard((former.name, begun[0]))
+        scene.network.cuts.discard((previous.name, begun[0]))
         await restart(scene, begun[0], 0.05)
 
-    return play(story)
+    return play(scenario)
 
 
-def hidden_after_the_restart():
-    """Let nobody reach a worker any more, in the executor's next life.
+def hidden_after_restart():
+    """Cut a worker off from all servers after its executor's restart.
 
-    Its lease is given by its own clock, which has started anew.
+    Its lease is measured by its own clock, which has started anew.
     """
 
-    async def story(scene):
+    async def scenario(scene):
         await begin(scene, LONG)
         machines = list(scene.fleet.machines.values())
         for machine in machines:
@@ -314,37 +317,39 @@
             scene.network.cuts.add((process.name, busy.address))
         await curio.sleep(12.0)
 
-    return play(story)
+    return play(scenario)
 
 
-def drawn_day(seed, wanted=(), cuts=0, restart_count=3, trouble_count=2):
-    """Play a day with drawn troubles, cuts, and restarts.
+def random_day(
+    seed, wanted_features=(), cuts=0, restart_count=3, fault_count=2
+):
+    """Run a day with random faults, cuts, and restarts.
 
-    :param wanted: features that its jobs ask for
+    :param wanted_features: features that its jobs use
     """
-    drawn = troubles.draw(seed, 12.0, trouble_count, troubles.LAB_KINDS)
-    drawn += troubles.draw(seed, 12.0, cuts, troubles.CUT_KINDS)
-    drawn += troubles.draw(seed, 12.0, restart_count, troubles.RESTART_KINDS)
+    faults = troubles.draw(seed, 12.0, fault_count, troubles.LAB_KINDS)
+    faults += troubles.draw(seed, 12.0, cuts, troubles.CUT_KINDS)
+    faults += troubles.draw(seed, 12.0, restart_count, troubles.RESTART_KINDS)
     plan = day.Plan(
         seed,
-        troubles=tuple(drawn),
-        features=wanted,
-        finish_s=features.finish_s(wanted, day.FINISH_S),
+        troubles=tuple(faults),
+        features=wanted_features,
+        finish_s=features.finish_s(wanted_features, day.FINISH_S),
         tells_births=True,
     )
     return day.play(plan)
 
 
 def lab_day(seed):
-    """Play such a day as the lab does, with its two features."""
-    return drawn_day(seed, features.draw(seed, 2))
+    """Run such a day as the lab does, with two random features."""
+    return random_day(seed, features.draw(seed, 2))
 
 
 def day_with_a_cut(seed):
-    """Play such a day with a cut and two restarts."""
-    return drawn_day(seed, features.draw(seed, 2), 1, 2)
+    """Run such a day with a cut and two restarts."""
+    return random_day(seed, features.draw(seed, 2), 1, 2)
 
 
 def day_of_many_restarts(seed):
-    """Play such a day with three troubles, a cut and six restarts."""
-    return drawn_day(seed, features.draw(seed, 2), 1, 6, 3)
+    """Run such a day with three faults, a cut and six restarts."""
+    return random_day(seed, features.draw(seed, 2), 1, 6, 3)
