--- a/oleanderwood/capacity/demand.py
+++ b/oleanderwood/capacity/demand.py
@@ -173,11 +173,11 @@
     """
     since_s = _window_start_s(pool_history, now_s)
     count = _count(pool_history, since_s)
-    part = count / (count + HALF_WEIGHT_ARRIVALS)
+    weight = count / (count + HALF_WEIGHT_ARRIVALS)
     rate = _rate(pool_history, since_s, now_s) * _rise_factor(
         pool_history, since_s, now_s
     )
-    return part * rate * _mean_size(pool_history)
+    return weight * rate * _mean_size(pool_history)
 
 
 def _window_start_s(pool_history: PoolHistory, now_s: float) -> float:
@@ -224,11 +224,11 @@
     recent = _count(pool_history, now_s - RATE_WINDOW_S)
     present = current_cores(pool_history, now_s)
     mean = mean_cores(history, pool_history, now_s)
-    least = max(
+    threshold = max(
         BURST_START_FACTOR * mean,
         MIN_BURST_POOL_SHARE * history.pool_cores.get(pool, 0.0),
     )
-    high = recent >= MIN_BURST_ARRIVALS and present >= least
+    high = recent >= MIN_BURST_ARRIVALS and present >= threshold
     if high and not pool_history.in_burst:
         _start_burst(history, pool, pool_history, now_s)
     elif pool_history.in_burst and present < BURST_END_FACTOR * mean:
@@ -286,12 +286,12 @@
 
     The pool's initial cores count. Returns None if no burst was measured.
     """
-    parts = [
+    shares = [
         pool_history.burst_cores / history.pool_cores[pool]
         for pool, pool_history in history.by_pool.items()
         if pool_history.burst_cores and history.pool_cores.get(pool)
     ]
-    return max(parts, default=None)
+    return max(shares, default=None)
 
 
 def usual_start_gap_s(history: Turns) -> float:
--- a/oleanderwood/capacity/rebalancing.py
+++ b/oleanderwood/capacity/rebalancing.py
@@ -197,11 +197,11 @@
     Once other bursts were measured, it is expected to be as large as they
     were.
     """
-    part = RAMP_UP_SIZE_FACTOR
+    factor = RAMP_UP_SIZE_FACTOR
     seen = demand.largest_burst_share(history)
     if seen is not None:
-        part = min(part, max(1.0, PEAK_TO_MEAN * seen))
-    return math.ceil(part * pool.first_size)
+        factor = min(factor, max(1.0, PEAK_TO_MEAN * seen))
+    return math.ceil(factor * pool.first_size)
 
 
 def _is_near(
--- a/oleanderwood/frontend/asking.py
+++ b/oleanderwood/frontend/asking.py
@@ -28,10 +28,10 @@
 CANCELLED_PATH = '/cancelled/'
 
 
-class LeaderAnswer(msgspec.Struct, frozen=True):
-    """The leader's answer.
+class QueryResult(msgspec.Struct, frozen=True):
+    """Result of a query for a job's state or a queue's pending jobs.
 
-    :ivar state: None if the leader doesn't know the job
+    :ivar state: None if the job is unknown
     :ivar tenant: the owner of the job
     """
 
@@ -54,22 +54,22 @@
     )
 
 
-def tell_state(leader: states.Leader, job: ids.JobId) -> LeaderAnswer:
+def tell_state(leader: states.Leader, job: ids.JobId) -> QueryResult:
     """Return the state of a job, as the leader knows it."""
     entry = leader.ledger.entries.get(job)
     if entry is None:
-        return LeaderAnswer()
-    return LeaderAnswer(ledgers.shown_state(entry), tenant=entry.job.tenant)
+        return QueryResult()
+    return QueryResult(ledgers.shown_state(entry), tenant=entry.job.tenant)
 
 
-def tell_pending(leader: states.Leader, queue: str) -> LeaderAnswer:
+def tell_pending(leader: states.Leader, queue: str) -> QueryResult:
     """Count a queue's jobs of which no task has started, as the leader."""
     count = sum(
         1
         for entry in leader.ledger.entries.values()
         if entry.job.queue.name == queue and not ledgers.has_begun(entry)
     )
-    return LeaderAnswer(pending=count)
+    return QueryResult(pending=count)
 
 
 async def tell_jobs(asking: Asking, jobs: list[model.Job]) -> None:
@@ -118,7 +118,7 @@
         event_log.emit('caller', 'leader-not-told', why=error.reason)
 
 
-async def fetch_state(asking: Asking, job: ids.JobId) -> LeaderAnswer:
+async def fetch_state(asking: Asking, job: ids.JobId) -> QueryResult:
     """Return a job's state and tenant; the state is None for an unknown job.
 
     :raises errors.CallFailed: neither the leader nor the store answers
@@ -133,21 +133,21 @@
     return await _stored_state(asking.server.store, job)
 
 
-async def _stored_state(store: stores.Store, job: ids.JobId) -> LeaderAnswer:
+async def _stored_state(store: stores.Store, job: ids.JobId) -> QueryResult:
     stored = await stores.read(store, record.progress_key(job))
     try:
         if stored is not None:
             progress = msgspec.json.decode(stored.value, type=record.Progress)
-            return LeaderAnswer(progress.state, tenant=progress.tenant)
+            return QueryResult(progress.state, tenant=progress.tenant)
         stored = await stores.read(store, record.job_key(job))
         if stored is None:
-            return LeaderAnswer()
+            return QueryResult()
         owned = msgspec.json.decode(stored.value, type=model.Owned)
     except msgspec.MsgspecError as error:
         raise errors.CallFailed(
             verdicts.Verdict.NOT_RUN, f'malformed record in the store: {error}'
         ) from error
-    return LeaderAnswer(model.State.QUEUED, tenant=owned.tenant)
+    return QueryResult(model.State.QUEUED, tenant=owned.tenant)
 
 
 async def count_pending(asking: Asking, queue: str) -> int:
@@ -168,7 +168,7 @@
     return answer.pending
 
 
-async def _call_leader(asking: Asking, target: str) -> LeaderAnswer | None:
+async def _call_leader(asking: Asking, target: str) -> QueryResult | None:
     """Call the leader; return None if it doesn't answer or doesn't lead."""
     leader = asking.server.roles.leader
     if leader is None or leader.process == asking.server.process:
@@ -183,7 +183,7 @@
         )
         if answer.status != 200:
             return None
-        return msgspec.json.decode(answer.body, type=LeaderAnswer)
+        return msgspec.json.decode(answer.body, type=QueryResult)
     except (errors.CallFailed, msgspec.MsgspecError) as error:
         event_log.emit(
             'caller', 'leader-silent', target=target, why=str(error)
