--- a/oleanderwood/leading/confirming.py
+++ b/oleanderwood/leading/confirming.py
@@ -41,7 +41,7 @@
 PATH = '/contact'
 
 
-class Contact(msgspec.Struct, frozen=True):
+class ContactAnswer(msgspec.Struct, frozen=True):
     """A server's view of the store and of who leads.
 
     :ivar process: id of the server's incarnation, which is ``age_s`` old;
@@ -56,7 +56,7 @@
     leading_term: int = 0
 
 
-async def contact(server: states.Server, target: str) -> Contact:
+async def contact(server: states.Server, target: str) -> ContactAnswer:
     """Answer another server's call about contact with the store.
 
     The call of a later leader contains its term: a leader of an earlier term
@@ -71,7 +71,7 @@
     acts = leading is not None and not leading.deposed
     leader = server.roles.leader
     now_s = clock.now_s()
-    return Contact(
+    return ContactAnswer(
         leader.term if leader else 0,
         now_s - server.contact_s,
         server.process,
@@ -151,7 +151,7 @@
 
 async def ask_all(
     leader: states.Leader, addresses: list[ids.Address]
-) -> list[Contact | None]:
+) -> list[ContactAnswer | None]:
     """Call servers concurrently; None stands for one that did not answer."""
     async with curio.TaskGroup(wait=all) as group:
         for address in addresses:
@@ -159,7 +159,9 @@
     return group.results
 
 
-async def _ask(leader: states.Leader, address: ids.Address) -> Contact | None:
+async def _ask(
+    leader: states.Leader, address: ids.Address
+) -> ContactAnswer | None:
     try:
         answer = await transport.call(
             leader.peer_connections,
@@ -168,7 +170,7 @@
             PATH,
             timeout_s=ASK_TIMEOUT_S,
         )
-        return msgspec.json.decode(answer.body, type=Contact)
+        return msgspec.json.decode(answer.body, type=ContactAnswer)
     except (errors.CallFailed, msgspec.MsgspecError) as error:
         event_log.emit('leader', 'unasked', address=address, why=str(error))
         return None
--- a/oleanderwood/leading/election.py
+++ b/oleanderwood/leading/election.py
@@ -35,9 +35,9 @@
         await server.roles_changed.wait(MAX_CHECK_INTERVAL_S)
         if not _can_run(server):
             continue
-        place = roles_.candidate_rank(server.roles, server.settings.name)
-        if not _is_own_mark(server):
-            await curio.sleep(place * HEAD_START_S)
+        rank = roles_.candidate_rank(server.roles, server.settings.name)
+        if not _owns_liveness_key(server):
+            await curio.sleep(rank * HEAD_START_S)
         if not _can_run(server) or server.stopping:
             continue
         try:
@@ -58,10 +58,10 @@
         return False
     if clock.now_s() >= server.lease_until_s:
         return False
-    return not roles.alive_revision or _is_own_mark(server)
+    return not roles.alive_revision or _owns_liveness_key(server)
 
 
-def _is_own_mark(server: states.Server) -> bool:
+def _owns_liveness_key(server: states.Server) -> bool:
     """Return whether the liveness key belongs to this server.
 
     This is checked only while this process does not lead. The key was then
--- a/oleanderwood/leading/former.py
+++ b/oleanderwood/leading/former.py
@@ -95,7 +95,9 @@
             f'{confirming.PATH}/{leader.term}',
             timeout_s=confirming.ASK_TIMEOUT_S,
         )
-        contact = msgspec.json.decode(answer.body, type=confirming.Contact)
+        contact = msgspec.json.decode(
+            answer.body, type=confirming.ContactAnswer
+        )
     except (errors.CallFailed, msgspec.MsgspecError):
         return None
     if not contact.process or contact.leading_term == row.term:
--- a/oleanderwood/leading/intake.py
+++ b/oleanderwood/leading/intake.py
@@ -203,14 +203,14 @@
 def _mark_unlisted(
     leader: states.Leader,
     name: ids.ExecutorId,
-    but: workers_.Worker | None = None,
+    current: workers_.Worker | None = None,
 ) -> None:
     """Record that an executor has no usable entry.
 
-    :param but: the incarnation that has the entry
+    :param current: the incarnation that has the entry
     """
     for known in states.lives_of(leader, name):
-        if known.listed and known is not but:
+        if known.listed and known is not current:
             known.listed = False
             event_log.emit('worker', 'unlisted', worker=known.entry.worker)
 
@@ -372,10 +372,10 @@
         return
     progress = rolling.Progress(wave, clock.now_s())
     leader.fleet.waves[wave.wave] = progress
-    kept = leader.fleet.stored_waves.get(str(wave.wave))
-    if kept is not None:
+    stored = leader.fleet.stored_waves.get(str(wave.wave))
+    if stored is not None:
         try:
-            fleet_loop.restore(progress, kept)
+            fleet_loop.restore(progress, stored)
         except msgspec.MsgspecError as error:
             # Machines that have begun are ordered again, without effect.
             event_log.emit('wave', 'kept-malformed', why=str(error))
--- a/oleanderwood/leading/keeping.py
+++ b/oleanderwood/leading/keeping.py
@@ -52,7 +52,7 @@
     Jobs don't wait for them: if machines move all the time and the store is
     slow, worker lists change faster than they can be written.
     """
-    lost = False
+    failed = False
     while True:
         await leader.unrostered.wait(1.0)
         await curio.sleep(BATCH_DELAY_S)
@@ -62,15 +62,15 @@
             await states.depose(leader, 'another server leads')
             return
         except errors.CallFailed as error:
-            if not lost:
+            if not failed:
                 event_log.emit('store', 'not-rostered', why=error.reason)
-            lost = True
+            failed = True
             await curio.sleep(RETRY_PAUSE_S)
             await leader.unrostered.set()
             continue
-        if lost:
+        if failed:
             event_log.emit('store', 'rostered-again')
-            lost = False
+            failed = False
 
 
 async def write_progress_always(leader: states.Leader) -> None:
@@ -175,8 +175,8 @@
         raise
     persistence.note_written(leader.ledger, entries)
     for entry in entries:
-        held = not isolation.is_kept(entry)
-        if held or entry.more_pools != entry.more_pools_kept:
+        blocked = not isolation.is_kept(entry)
+        if blocked or entry.more_pools != entry.more_pools_kept:
             await leader.due.set()
         entry.crashes_kept = crashes[entry.job.job]
         entry.more_pools_kept.update(written[entry.job.job].more_pools)
@@ -259,10 +259,10 @@
 
 async def remove_ended_jobs_always(leader: states.Leader) -> None:
     """Remove ended jobs that callers may no longer ask for."""
-    kept_s = leader.server.settings.job_retention_s + RETENTION_SLACK_S
+    retention_s = leader.server.settings.job_retention_s + RETENTION_SLACK_S
     while True:
         await curio.sleep(5.0)
-        before_s = clock.now_s() - kept_s
+        before_s = clock.now_s() - retention_s
         old = [
             entry.job.job
             for entry in leader.ledger.entries.values()
--- a/oleanderwood/leading/roles.py
+++ b/oleanderwood/leading/roles.py
@@ -198,10 +198,10 @@
     last = roles.leader.holder if roles.leader else ''
     cores = {server.name: server.cores for server in roles.servers.values()}
     cores.setdefault(name, 0.0)
-    line = sorted(
+    ranking = sorted(
         cores, key=lambda other: (other == last, -cores[other], other)
     )
-    return line.index(name)
+    return ranking.index(name)
 
 
 def peers(roles: Roles, process: str) -> list[Server]:
@@ -215,10 +215,10 @@
 
 def recent_peers(roles: Roles, process: str, now_s: float) -> list[Server]:
     """Return the other servers, including recently removed ones."""
-    lately = [
+    recent = [
         row.server
         for row in roles.removed_servers.values()
         if now_s - row.at_s <= REMOVED_ROW_RETENTION_S
         and row.server.process != process
     ]
-    return peers(roles, process) + lately
+    return peers(roles, process) + recent
--- a/oleanderwood/leading/term.py
+++ b/oleanderwood/leading/term.py
@@ -138,7 +138,7 @@
 
     :param read_at: revision of the store at which jobs were read
     """
-    parts = [
+    loops = [
         _follow_intake(leader, read_at),
         _follow_workers(leader),
         intake.apply_waiting_always(leader),
@@ -155,10 +155,10 @@
     address = leader.server.settings.advice_address
     if address is not None:
         calls = advice.Advice(address)
-        parts.append(advising.advise_always(leader, calls))
+        loops.append(advising.advise_always(leader, calls))
     if leader.machine_calls is not None:
-        parts.append(fleet_loop.manage_always(leader))
-    return parts
+        loops.append(fleet_loop.manage_always(leader))
+    return loops
 
 
 @dataclasses.dataclass(frozen=True)
@@ -421,7 +421,7 @@
             await _hand_over(leader)
             await states.depose(leader, 'the server is stopping')
         elif not roles.alive_revision and roles.known and server.lease:
-            await _renew_mark(leader)
+            await _restore_liveness_key(leader)
         elif why := _reason_to_yield(leader, now_s):
             await _hand_over(leader)
             await states.depose(leader, why)
@@ -444,7 +444,7 @@
     )
 
 
-async def _renew_mark(leader: states.Leader) -> None:
+async def _restore_liveness_key(leader: states.Leader) -> None:
     """Write the liveness key again, attached to the new lease."""
     server = leader.server
     conditions = {
