--- a/oleanderwood/capacity/backlog.py
+++ b/oleanderwood/capacity/backlog.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Waiting:
+class WaitingTasks:
     """Waiting tasks of one step.
 
     :ivar cores: cores that all tasks need to run at the same time
@@ -28,7 +28,7 @@
     left_s: float
 
 
-def required_cores(rows: collections.abc.Iterable[Waiting]) -> float:
+def required_cores(rows: collections.abc.Iterable[WaitingTasks]) -> float:
     """Return the fewest cores with which all rows meet their deadlines.
 
     For each deadline, the work due by then has to be done; the deadline that
@@ -42,5 +42,5 @@
     return most
 
 
-def _due_s(row: Waiting) -> float:
+def _due_s(row: WaitingTasks) -> float:
     return max(MIN_LEFT_S, row.length_s, row.left_s)
--- a/oleanderwood/capacity/demand.py
+++ b/oleanderwood/capacity/demand.py
@@ -30,7 +30,7 @@
 """Time after the start of a burst in which its rate can't be measured yet: it
 peaks after two or three seconds, and the rate is measured over 2.5 s."""
 
-MEAN_S = 60.0
+MEAN_WINDOW_S = 60.0
 """Window for the mean rate, a few cycles of bursts."""
 
 MIN_MEAN_WINDOW_S = 6.0
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass
-class Turns:
+class ArrivalHistory:
     """Arrivals of all pools.
 
     :ivar began_s: time of the first arrival
@@ -106,18 +106,20 @@
     pool_cores: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
-def note(history: Turns, pool: str, at_s: float, core_s: float) -> None:
+def record_arrival(
+    history: ArrivalHistory, pool: str, at_s: float, core_s: float
+) -> None:
     """Record the arrival of a job; arrivals come in order of time."""
     if history.began_s is None:
         history.began_s = at_s
     pool_history = history.by_pool.setdefault(pool, PoolHistory())
     # Ends a burst that is over since the last update.
-    update(history, pool, at_s)
+    update_burst_state(history, pool, at_s)
     pool_history.arrivals.append((at_s, core_s))
     pool_history.total_core_s += core_s
-    while pool_history.arrivals[0][0] < at_s - MEAN_S:
+    while pool_history.arrivals[0][0] < at_s - MEAN_WINDOW_S:
         pool_history.total_core_s -= pool_history.arrivals.popleft()[1]
-    update(history, pool, at_s)
+    update_burst_state(history, pool, at_s)
 
 
 def current_cores(pool_history: PoolHistory, now_s: float) -> float:
@@ -207,16 +209,20 @@
 
 
 def mean_cores(
-    history: Turns, pool_history: PoolHistory, now_s: float
+    history: ArrivalHistory, pool_history: PoolHistory, now_s: float
 ) -> float:
     """Return the mean number of cores that arrivals keep busy."""
     if history.began_s is None:
         return 0.0
-    span_s = min(MEAN_S, max(MIN_MEAN_WINDOW_S, now_s - history.began_s))
+    span_s = min(
+        MEAN_WINDOW_S, max(MIN_MEAN_WINDOW_S, now_s - history.began_s)
+    )
     return pool_history.total_core_s / span_s
 
 
-def update(history: Turns, pool: str, now_s: float) -> None:
+def update_burst_state(
+    history: ArrivalHistory, pool: str, now_s: float
+) -> None:
     """Detect the start or the end of a pool's burst."""
     pool_history = history.by_pool.get(pool)
     if pool_history is None:
@@ -239,7 +245,7 @@
 
 
 def _start_burst(
-    history: Turns, pool: str, pool_history: PoolHistory, now_s: float
+    history: ArrivalHistory, pool: str, pool_history: PoolHistory, now_s: float
 ) -> None:
     pool_history.in_burst = True
     pool_history.began_s = now_s - RATE_WINDOW_S
@@ -281,7 +287,7 @@
         )
 
 
-def largest_burst_share(history: Turns) -> float | None:
+def largest_burst_share(history: ArrivalHistory) -> float | None:
     """Return the largest mean demand of a burst, relative to its pool's cores.
 
     The pool's initial cores count. Returns None if no burst was measured.
@@ -294,7 +300,7 @@
     return max(shares, default=None)
 
 
-def usual_start_gap_s(history: Turns) -> float:
+def usual_start_gap_s(history: ArrivalHistory) -> float:
     """Return the median time between two starts, or the least if unknown."""
     if not history.start_gaps_s:
         return MIN_START_GAP_S
@@ -311,7 +317,7 @@
 
 
 def next_burst(
-    history: Turns, pool: str, now_s: float
+    history: ArrivalHistory, pool: str, now_s: float
 ) -> BurstForecast | None:
     """Predict when a pool's next burst starts; return None if that is unknown.
 
@@ -357,7 +363,7 @@
 
 
 def _first_burst(
-    history: Turns, pool: str, now_s: float
+    history: ArrivalHistory, pool: str, now_s: float
 ) -> BurstForecast | None:
     """Predict the first burst of a pool.
 
@@ -391,7 +397,7 @@
     return begin_s
 
 
-def _count_without_burst(history: Turns) -> int:
+def _count_without_burst(history: ArrivalHistory) -> int:
     """Count the pools that haven't had a burst yet."""
     seen = {
         pool
@@ -401,7 +407,9 @@
     return len(history.pools - seen)
 
 
-def earliest_burst_s(history: Turns, pool: str, now_s: float) -> float | None:
+def earliest_burst_s(
+    history: ArrivalHistory, pool: str, now_s: float
+) -> float | None:
     """Return the time before which a pool's next burst can't start.
 
     Returns None if it may start at any moment. While other pools haven't had
--- a/oleanderwood/capacity/draining.py
+++ b/oleanderwood/capacity/draining.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Emptied:
+class MachineToDrain:
     """A machine that accepts no more tasks.
 
     :ivar stops: tasks to stop, which continue elsewhere in their pool
@@ -61,7 +61,7 @@
 
 def decide(
     pools: collections.abc.Iterable[Surplus], wanted: int, now_s: float
-) -> list[Emptied]:
+) -> list[MachineToDrain]:
     """Choose up to ``wanted`` machines, those that are drained soonest."""
     rows = []
     for pool in pools:
@@ -78,7 +78,7 @@
         if drain_time_s is None or drain_time_s > MAX_DRAIN_S:
             continue
         tasks = list(member.worker.runs.values())
-        emptied = Emptied(
+        emptied = MachineToDrain(
             member.machine,
             [task for task in tasks if _is_stopped(task, now_s)],
         )
@@ -92,11 +92,11 @@
     worker = member.worker
     if worker is None or member.fixed or not worker.runs:
         return None
-    if not worker.emptying and not workers_.accepts(worker, now_s):
+    if not worker.is_reclaimed and not workers_.accepts(worker, now_s):
         return None
     longest_s = 0.0
     for task in worker.runs.values():
-        if task.group.step.lasting or task.group.step.gang:
+        if task.group.step.is_long_running or task.group.step.gang:
             return None
         longest_s = max(longest_s, _task_drain_time_s(task, now_s))
     return longest_s
--- a/oleanderwood/capacity/rebalancing.py
+++ b/oleanderwood/capacity/rebalancing.py
@@ -87,14 +87,15 @@
     """One pool.
 
     :ivar busy_cores: cores of running tasks, and of all long-running ones
-    :ivar held_cores: cores of long-running tasks, included in ``busy_cores``
+    :ivar long_running_cores: cores of long-running tasks, included in
+        ``busy_cores``
     :ivar waiting: other tasks that are ready to start
     :ivar first_size: initial number of machines
     :ivar min_up: machines that operators have set as its minimum
     :ivar priority: best priority of its work, long-running tasks excluded
-    :ivar lacks_kind: a step fits on none of its machines even if they are
-        idle, or a long-running one fits on none as they are, and another
-        machine might suit
+    :ivar lacks_suitable_machine: a step fits on none of its machines even if
+        they are idle, or a long-running one fits on none as they are, and
+        another machine might suit
     :ivar lacks_labels: labels of steps for which the same holds; only a
         machine with the label might suit
     """
@@ -102,12 +103,14 @@
     service: ids.ServiceId
     members: list[Member]
     busy_cores: float = 0.0
-    held_cores: float = 0.0
+    long_running_cores: float = 0.0
     first_size: int = 0
     min_up: int = 0
-    waiting: list[backlog.Waiting] = dataclasses.field(default_factory=list)
+    waiting: list[backlog.WaitingTasks] = dataclasses.field(
+        default_factory=list
+    )
     priority: float = math.inf
-    lacks_kind: bool = False
+    lacks_suitable_machine: bool = False
     lacks_labels: set[str] = dataclasses.field(default_factory=set)
 
 
@@ -138,17 +141,19 @@
     """The result of a planning pass.
 
     :ivar needs: machines that each pool needs
-    :ivar emptied: busy machines to drain for pools that lack machines
+    :ivar to_drain: busy machines to drain for pools that lack machines
     """
 
     moves: list[Move]
     needs: dict[ids.ServiceId, Need]
-    emptied: list[draining.Emptied] = dataclasses.field(default_factory=list)
+    to_drain: list[draining.MachineToDrain] = dataclasses.field(
+        default_factory=list
+    )
 
 
 def _machines_needed(
     pool: PoolView,
-    history: demand.Turns,
+    history: demand.ArrivalHistory,
     machine_cores: float,
     move_s: float,
     now_s: float,
@@ -156,7 +161,9 @@
     pool_history = history.by_pool.get(pool.service)
     cores = pool.busy_cores
     if pool_history is not None:
-        arriving = pool.held_cores + demand.expected_cores(pool_history, now_s)
+        arriving = pool.long_running_cores + demand.expected_cores(
+            pool_history, now_s
+        )
         cores = max(cores, arriving)
     cores += backlog.required_cores(pool.waiting)
     if pool.waiting:
@@ -168,7 +175,7 @@
     now = math.ceil(cores / each)
     if pool_history is not None and demand.is_ramping_up(pool_history, now_s):
         now = max(now, _ramp_up_machines(pool, history))
-    if pool.lacks_kind:
+    if pool.lacks_suitable_machine:
         # One machine comes at a time, and the present ones stay: sent away as
         # idle, they came back again and again, 26 times in a run of 90 s.
         now = max(now, len(pool.members) + (not _is_incoming(pool.members)))
@@ -181,7 +188,8 @@
             soon = _ramp_up_machines(pool, history)
         else:
             forecast_cores = (
-                pool.held_cores + FORECAST_SHARE * pool_history.burst_cores
+                pool.long_running_cores
+                + FORECAST_SHARE * pool_history.burst_cores
             )
             soon = math.ceil(forecast_cores / each)
     return Need(now, max(now, soon))
@@ -191,7 +199,7 @@
     return any(member.worker is None for member in members)
 
 
-def _ramp_up_machines(pool: PoolView, history: demand.Turns) -> int:
+def _ramp_up_machines(pool: PoolView, history: demand.ArrivalHistory) -> int:
     """Return the expected need for a burst that can't be measured yet.
 
     Once other bursts were measured, it is expected to be as large as they
@@ -215,7 +223,7 @@
 def decide(
     pools: collections.abc.Sequence[PoolView],
     standby: dict[ids.ServiceId, list[Member]],
-    history: demand.Turns,
+    history: demand.ArrivalHistory,
     move_s: float,
     now_s: float,
     weights: policies.Weights = policies.Weights(),
@@ -273,7 +281,7 @@
 
 def _to_standby(
     pools: collections.abc.Sequence[PoolView],
-    history: demand.Turns,
+    history: demand.ArrivalHistory,
     free: '_Free',
     remaining: dict[ids.ServiceId, int],
     near: set[ids.ServiceId],
@@ -314,7 +322,7 @@
     free: '_Free',
     remaining: dict[ids.ServiceId, int],
     now_s: float,
-) -> list[draining.Emptied]:
+) -> list[draining.MachineToDrain]:
     """Choose busy machines to drain for pools that got too few idle ones.
 
     :param remaining: members of each pool after the moves decided so far
@@ -358,7 +366,10 @@
 
 
 def _burst_is_near(
-    history: demand.Turns, service: ids.ServiceId, near_s: float, now_s: float
+    history: demand.ArrivalHistory,
+    service: ids.ServiceId,
+    near_s: float,
+    now_s: float,
 ) -> bool:
     forecast = demand.next_burst(history, service, now_s)
     return forecast is not None and _is_near(forecast, now_s, near_s)
@@ -375,7 +386,7 @@
 def _idle_surplus(
     pools: collections.abc.Sequence[PoolView],
     wanted: dict[ids.ServiceId, Need],
-    history: demand.Turns,
+    history: demand.ArrivalHistory,
     near_s: float,
     now_s: float,
 ) -> list[tuple[ids.ServiceId, Member]]:
@@ -400,7 +411,9 @@
     return rows
 
 
-def _has_had_no_burst(history: demand.Turns, service: ids.ServiceId) -> bool:
+def _has_had_no_burst(
+    history: demand.ArrivalHistory, service: ids.ServiceId
+) -> bool:
     """Return whether a pool that has bursts is still before its first."""
     pool_history = history.by_pool.get(service)
     seen = pool_history is not None and bool(pool_history.starts_s)
@@ -408,7 +421,10 @@
 
 
 def _may_start_first_burst(
-    history: demand.Turns, service: ids.ServiceId, near_s: float, now_s: float
+    history: demand.ArrivalHistory,
+    service: ids.ServiceId,
+    near_s: float,
+    now_s: float,
 ) -> bool:
     """Return whether a pool's first burst may start before machines arrive.
 
@@ -429,7 +445,7 @@
     worker = member.worker
     if worker is None or member.fixed or worker.runs:
         return False
-    if worker.emptying:
+    if worker.is_reclaimed:
         return True
     idle_s = now_s - worker.idle_since_s
     return workers_.accepts(worker, now_s) and idle_s >= MIN_IDLE_S
@@ -517,7 +533,10 @@
 
 
 def _is_unneeded_in_burst(
-    history: demand.Turns, service: ids.ServiceId, member: Member, now_s: float
+    history: demand.ArrivalHistory,
+    service: ids.ServiceId,
+    member: Member,
+    now_s: float,
 ) -> bool:
     """Return whether a pool during its burst doesn't need an idle machine."""
     pool_history = history.by_pool.get(service)
@@ -527,7 +546,10 @@
 
 
 def _may_go_to_standby(
-    history: demand.Turns, service: ids.ServiceId, near_s: float, now_s: float
+    history: demand.ArrivalHistory,
+    service: ids.ServiceId,
+    near_s: float,
+    now_s: float,
 ) -> bool:
     """Return whether a pool's idle machines aren't needed for some time."""
     if _has_had_no_burst(history, service):
--- a/oleanderwood/frontend/forwarding.py
+++ b/oleanderwood/frontend/forwarding.py
@@ -13,8 +13,8 @@
 from oleanderwood import clock
 from oleanderwood import errors
 from oleanderwood import event_log
-from oleanderwood.frontend import asking as askings
 from oleanderwood.frontend import intake as intakes
+from oleanderwood.frontend import peer_client as peer_clients
 from oleanderwood import ids
 from oleanderwood.jobs import model
 from oleanderwood.leading import roles as roles_
@@ -57,7 +57,7 @@
     foreign: bool = False
 
 
-class Call(msgspec.Struct, frozen=True):
+class ForwardedCall(msgspec.Struct, frozen=True):
     """A caller's call, for another server to judge and answer.
 
     :ivar key: the digest of the caller's key
@@ -74,7 +74,7 @@
     least_revision: int
 
 
-class Answered(msgspec.Struct, frozen=True):
+class ForwardedAnswer(msgspec.Struct, frozen=True):
     """Another server's answer to a forwarded call.
 
     :ivar status: None if that server can't judge the call either; it had no
@@ -86,36 +86,38 @@
     body: bytes = b''
 
 
-Answer = typing.TypeVar('Answer', RelayResult, Answered)
+Answer = typing.TypeVar('Answer', RelayResult, ForwardedAnswer)
 
 
-def store_lost(server: states.Server) -> bool:
+def is_store_lost(server: states.Server) -> bool:
     """Return whether the store hasn't answered this server for a while."""
-    return clock.now_s() - server.contact_s > STORE_LOST_AFTER_S
+    return clock.now_s() - server.store_contact_s > STORE_LOST_AFTER_S
 
 
-async def submit(asking: askings.Asking, job: model.Job) -> RelayResult:
+async def submit(
+    client: peer_clients.PeerClient, job: model.Job
+) -> RelayResult:
     """Submit a job through another server."""
-    return await _relay(asking, JOB_PATH, msgspec.json.encode(job), job.job)
+    return await _relay(client, JOB_PATH, msgspec.json.encode(job), job.job)
 
 
 async def cancel(
-    asking: askings.Asking, job: ids.JobId, tenant: ids.TenantId
+    client: peer_clients.PeerClient, job: ids.JobId, tenant: ids.TenantId
 ) -> RelayResult:
     """Cancel a tenant's job through another server."""
-    return await _relay(asking, CANCEL_PATH + job, tenant.encode(), job)
+    return await _relay(client, CANCEL_PATH + job, tenant.encode(), job)
 
 
 async def _relay(
-    asking: askings.Asking, target: str, body: bytes, job: ids.JobId
+    client: peer_clients.PeerClient, target: str, body: bytes, job: ids.JobId
 ) -> RelayResult:
     """Call servers one after another until one has carried out the call."""
     result = RelayResult(
         verdicts.Verdict.NOT_RUN, 'no other server is known to relay to'
     )
     in_doubt = False
-    for address in _peer_addresses(asking.server):
-        result = await _relay_to(asking, address, target, body)
+    for address in _peer_addresses(client.server):
+        result = await _relay_to(client, address, target, body)
         event_log.emit(
             'caller',
             'relayed',
@@ -132,7 +134,9 @@
     return result
 
 
-async def forward_call(asking: askings.Asking, call: Call) -> Answered:
+async def forward_call(
+    client: peer_clients.PeerClient, call: ForwardedCall
+) -> ForwardedAnswer:
     """Have a call answered by a server with a recent configuration.
 
     :raises errors.CallFailed: a server may have carried out the call
@@ -140,12 +144,12 @@
     body = msgspec.json.encode(call)
     in_doubt = ''
     unanswered = 0
-    for address in _judge_addresses(asking):
+    for address in _judge_addresses(client):
         if unanswered == MAX_PEERS:
             break
         try:
             reply = await _call_peer(
-                asking, address, CALL_PATH, body, Answered
+                client, address, CALL_PATH, body, ForwardedAnswer
             )
         except errors.CallFailed as error:
             unanswered += 1
@@ -153,20 +157,20 @@
                 in_doubt = error.reason
             continue
         if reply.status is not None:
-            asking.last_judge = address
+            client.last_judge = address
             return reply
     if in_doubt:
         raise errors.CallFailed(verdicts.Verdict.MAY_HAVE_RUN, in_doubt)
-    return Answered()
+    return ForwardedAnswer()
 
 
-def _judge_addresses(asking: askings.Asking) -> list[ids.Address]:
+def _judge_addresses(client: peer_clients.PeerClient) -> list[ids.Address]:
     """Return servers that may judge a call, the last successful one first.
 
     A server that can't judge it answers so at once, so many may be asked.
     """
-    found = _peer_addresses(asking.server, MAX_JUDGES)
-    return sorted(found, key=lambda address: address != asking.last_judge)
+    found = _peer_addresses(client.server, MAX_JUDGES)
+    return sorted(found, key=lambda address: address != client.last_judge)
 
 
 def _peer_addresses(
@@ -194,16 +198,19 @@
 
 
 async def _relay_to(
-    asking: askings.Asking, address: ids.Address, target: str, body: bytes
+    client: peer_clients.PeerClient,
+    address: ids.Address,
+    target: str,
+    body: bytes,
 ) -> RelayResult:
     try:
-        return await _call_peer(asking, address, target, body, RelayResult)
+        return await _call_peer(client, address, target, body, RelayResult)
     except errors.CallFailed as error:
         return RelayResult(error.verdict, error.reason)
 
 
 async def _call_peer(
-    asking: askings.Asking,
+    client: peer_clients.PeerClient,
     address: ids.Address,
     target: str,
     body: bytes,
@@ -215,7 +222,7 @@
         malformed
     """
     answer = await transport.call(
-        asking.open_connections,
+        client.open_connections,
         address,
         'POST',
         target,
@@ -232,7 +239,7 @@
         ) from error
 
 
-async def take_job(
+async def handle_job(
     server: states.Server, intake: intakes.Intake, body: bytes
 ) -> RelayResult:
     """Submit a job for another server; it isn't relayed any further.
@@ -240,7 +247,7 @@
     :raises msgspec.MsgspecError: the body is not a job
     """
     job = msgspec.json.decode(body, type=model.Job)
-    if store_lost(server):
+    if is_store_lost(server):
         return RelayResult(
             verdicts.Verdict.NOT_RUN, 'the store is unreachable here as well'
         )
@@ -250,11 +257,11 @@
     )
 
 
-async def take_cancel(
+async def handle_cancel(
     server: states.Server, job: ids.JobId, tenant: ids.TenantId
 ) -> RelayResult:
     """Cancel a tenant's job for another server; it isn't relayed further."""
-    if store_lost(server):
+    if is_store_lost(server):
         return RelayResult(
             verdicts.Verdict.NOT_RUN, 'the store is unreachable here as well'
         )
--- a/oleanderwood/frontend/freshness.py
+++ b/oleanderwood/frontend/freshness.py
@@ -24,15 +24,17 @@
     return max(MIN_TRUST_SHARE * revocation_s, revocation_s - SLACK_S)
 
 
-def is_proven(server: states.Server) -> bool:
+def is_recent(server: states.Server) -> bool:
     """Return whether the configuration is recent enough to judge keys."""
-    age_s = clock.now_s() - server.configuration_proven_s
+    age_s = clock.now_s() - server.configuration_confirmed_s
     return age_s <= trusted_s(server)
 
 
-def note_reading(server: states.Server, sent_s: float) -> None:
+def record_reading(server: states.Server, sent_s: float) -> None:
     """Record that a reading sent at ``sent_s`` showed all changes up to then.
 
     The answer may be older than its arrival, so the time of sending counts.
     """
-    server.configuration_proven_s = max(server.configuration_proven_s, sent_s)
+    server.configuration_confirmed_s = max(
+        server.configuration_confirmed_s, sent_s
+    )
--- a/oleanderwood/frontend/handler.py
+++ b/oleanderwood/frontend/handler.py
@@ -9,11 +9,11 @@
 from oleanderwood import clock
 from oleanderwood import errors
 from oleanderwood import event_log
-from oleanderwood.frontend import asking as askings
 from oleanderwood.frontend import denials as denials_
 from oleanderwood.frontend import forwarding
 from oleanderwood.frontend import freshness
 from oleanderwood.frontend import intake as intakes
+from oleanderwood.frontend import peer_client as peer_clients
 from oleanderwood.frontend import targets
 from oleanderwood import ids
 from oleanderwood.jobs import model
@@ -69,7 +69,7 @@
 
     server: states.Server
     intake: intakes.Intake
-    asking: askings.Asking
+    client: peer_clients.PeerClient
     denials: denials_.Denials = dataclasses.field(
         default_factory=denials_.Denials
     )
@@ -113,13 +113,13 @@
     return (
         server.configuration.tenants is not None
         and not isinstance(call.credential, credentials.Denial)
-        and not freshness.is_proven(server)
+        and not freshness.is_recent(server)
     )
 
 
 async def _forward(frontend: Frontend, call: Call) -> http.Response:
     """Have a call judged by a server with a recent configuration."""
-    forwarded = forwarding.Call(
+    forwarded = forwarding.ForwardedCall(
         call.method,
         call.host,
         call.path,
@@ -129,7 +129,7 @@
     )
     began_s = clock.now_s()
     try:
-        reply = await forwarding.forward_call(frontend.asking, forwarded)
+        reply = await forwarding.forward_call(frontend.client, forwarded)
     except errors.CallFailed as error:
         server_metrics.PASSED_ON.labels('in-doubt').inc()
         _log('passed-on', _job_of(call), began_s, why=error.reason)
@@ -142,12 +142,14 @@
     return http.Response(reply.status, list(reply.headers), reply.body)
 
 
-async def take_call(frontend: Frontend, body: bytes) -> forwarding.Answered:
+async def handle_forwarded_call(
+    frontend: Frontend, body: bytes
+) -> forwarding.ForwardedAnswer:
     """Judge and answer another server's call; it isn't forwarded any further.
 
     :raises msgspec.MsgspecError: the body is not a call
     """
-    forwarded = msgspec.json.decode(body, type=forwarding.Call)
+    forwarded = msgspec.json.decode(body, type=forwarding.ForwardedCall)
     call = Call(
         forwarded.method,
         forwarded.host,
@@ -159,17 +161,17 @@
     if (
         server.configuration is None
         or server.configuration_revision < forwarded.least_revision
-        or forwarding.store_lost(server)
+        or forwarding.is_store_lost(server)
         or _needs_proof(server, call)
     ):
-        return forwarding.Answered()
+        return forwarding.ForwardedAnswer()
     try:
         response = await _serve(frontend, call)
     except errors.BadMessage as error:
-        return forwarding.Answered(
+        return forwarding.ForwardedAnswer(
             error.status, [], error.reason.encode() + b'\n'
         )
-    return forwarding.Answered(
+    return forwarding.ForwardedAnswer(
         response.status, response.headers, response.body
     )
 
@@ -188,7 +190,7 @@
     """
     configuration = frontend.server.configuration
     found = queues.find(configuration, call.host, call.path)
-    tenant = access.judge(
+    tenant = access.authenticate(
         configuration.tenants,
         found is not None and found[0].public,
         call.credential,
@@ -247,7 +249,7 @@
     began_s = clock.now_s()
     work = callers.decode_job(body)
     if queue.public:
-        tenant = access.NOBODY
+        tenant = access.NO_TENANT
     if await _can_never_run(frontend, job, work, tenant):
         _log('too-wide', job, began_s, tenant=tenant)
         return http.Response(
@@ -289,7 +291,7 @@
     if not any(quotas.exceeds(step, limit) for step in work.steps):
         return False
     try:
-        answer = await askings.fetch_state(frontend.asking, job)
+        answer = await peer_clients.fetch_state(frontend.client, job)
     except errors.CallFailed as error:
         _log('state-unknown', job, clock.now_s(), why=error.reason)
         return False
@@ -304,7 +306,7 @@
     Returns whether it is stored now, and if not, why.
     """
     verdict = verdicts.Verdict.NOT_RUN
-    if not forwarding.store_lost(frontend.server):
+    if not forwarding.is_store_lost(frontend.server):
         submission = await intakes.submit(frontend.intake, job)
         if submission.verdict is verdicts.Verdict.RAN or submission.id_taken:
             return forwarding.RelayResult(
@@ -313,7 +315,7 @@
                 foreign=submission.id_taken,
             )
         verdict = submission.verdict
-    relayed = await forwarding.submit(frontend.asking, job)
+    relayed = await forwarding.submit(frontend.client, job)
     if relayed.verdict is verdicts.Verdict.NOT_RUN and not relayed.foreign:
         return forwarding.RelayResult(verdict, relayed.reason)
     return relayed
@@ -328,12 +330,12 @@
 ) -> http.Response:
     began_s = clock.now_s()
     try:
-        answer = await askings.fetch_state(frontend.asking, job)
+        answer = await peer_clients.fetch_state(frontend.client, job)
     except errors.CallFailed as error:
         _log('state-unknown', job, began_s, why=error.reason)
         return _refusal(503, 'the state cannot be read now')
     # Callers can't learn whether another tenant's job exists.
-    if answer.state is None or not access.may_touch(answer.tenant, tenant):
+    if answer.state is None or not access.may_access(answer.tenant, tenant):
         _log('no-such-job', job, began_s, tenant=tenant)
         return http.Response(410, [], b'no such job\n')
     return _state_response(answer.state)
@@ -355,7 +357,9 @@
     if not exists:
         return http.Response(410, [], b'no such job\n')
     # The caller doesn't wait for the notification.
-    await curio.spawn(askings.notify_cancel, frontend.asking, job, daemon=True)
+    await curio.spawn(
+        peer_clients.notify_cancel, frontend.client, job, daemon=True
+    )
     return _state_response(model.State.CANCELLED)
 
 
@@ -367,13 +371,13 @@
     :raises errors.CallFailed: neither this server nor another could do it
     """
     verdict = verdicts.Verdict.NOT_RUN
-    if not forwarding.store_lost(frontend.server):
+    if not forwarding.is_store_lost(frontend.server):
         try:
             return await intakes.cancel(frontend.server.store, job, tenant)
         except errors.CallFailed as error:
             _log('store-failed', job, clock.now_s(), why=error.reason)
             verdict = error.verdict
-    relayed = await forwarding.cancel(frontend.asking, job, tenant)
+    relayed = await forwarding.cancel(frontend.client, job, tenant)
     if relayed.verdict is verdicts.Verdict.RAN:
         return relayed.there
     if relayed.verdict is not verdicts.Verdict.NOT_RUN:
@@ -385,7 +389,7 @@
     frontend: Frontend, queue: queues.Queue
 ) -> http.Response:
     try:
-        count = await askings.count_pending(frontend.asking, queue.name)
+        count = await peer_clients.count_pending(frontend.client, queue.name)
     except errors.CallFailed as error:
         event_log.emit(
             'caller', 'pending-unknown', queue=queue.name, why=error.reason
--- a/oleanderwood/frontend/intake.py
+++ b/oleanderwood/frontend/intake.py
@@ -89,7 +89,7 @@
     return submission
 
 
-async def write_always(intake: Intake) -> None:
+async def write_forever(intake: Intake) -> None:
     """Write waiting jobs, one batch after another, until cancelled.
 
     Each batch has its own task, so that one without an answer doesn't delay
@@ -157,7 +157,7 @@
             timeout_s=WRITE_TIMEOUT_S / WRITE_ATTEMPTS,
         )
     except stores.Conflict as conflict:
-        roles_.learn(intake.roles, conflict.items)
+        roles_.apply_items(intake.roles, conflict.items)
         stored = {
             item.key: item.value for item in conflict.items if not item.removed
         }
@@ -218,10 +218,10 @@
     A job that can't be read belongs to no tenant, and nobody may change it.
     """
     try:
-        owner = msgspec.json.decode(value, type=model.Owned).tenant
+        owner = msgspec.json.decode(value, type=model.JobOwner).tenant
     except msgspec.MsgspecError:
         return False
-    return access.may_touch(owner, tenant)
+    return access.may_access(owner, tenant)
 
 
 async def _settle(
--- a/oleanderwood/frontend/asking.py
+++ b/oleanderwood/frontend/peer_client.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass
-class Asking:
+class PeerClient:
     """Connections for calls to the leader and to other servers.
 
     :ivar last_judge: the server that last judged a call for this one
@@ -54,7 +54,7 @@
     )
 
 
-def tell_state(leader: states.Leader, job: ids.JobId) -> QueryResult:
+def answer_state(leader: states.Leader, job: ids.JobId) -> QueryResult:
     """Return the state of a job, as the leader knows it."""
     entry = leader.ledger.entries.get(job)
     if entry is None:
@@ -62,7 +62,7 @@
     return QueryResult(ledgers.shown_state(entry), tenant=entry.job.tenant)
 
 
-def tell_pending(leader: states.Leader, queue: str) -> QueryResult:
+def answer_pending(leader: states.Leader, queue: str) -> QueryResult:
     """Count a queue's jobs of which no task has started, as the leader."""
     count = sum(
         1
@@ -72,42 +72,42 @@
     return QueryResult(pending=count)
 
 
-async def tell_jobs(asking: Asking, jobs: list[model.Job]) -> None:
+async def notify_jobs(client: PeerClient, jobs: list[model.Job]) -> None:
     """Notify the leader of jobs that were written to the store.
 
     The leader would see them there itself, but a watch may be a second late.
     The call is an optimization: nothing depends on it.
     """
-    leader = asking.server.leader
+    leader = client.server.leader
     if leader is not None and not leader.deposed:
-        await intake.take_jobs(leader, jobs)
+        await intake.add_jobs(leader, jobs)
         if not leader.deposed:
             return
-    await _notify(asking, JOBS_PATH, msgspec.json.encode(jobs))
+    await _notify(client, JOBS_PATH, msgspec.json.encode(jobs))
 
 
-async def notify_cancel(asking: Asking, job: ids.JobId) -> None:
+async def notify_cancel(client: PeerClient, job: ids.JobId) -> None:
     """Notify the leader of a job whose cancellation was written to the store.
 
     As with new jobs, the leader would see the mark itself; the sooner it
     knows, the less work is wasted.
     """
-    leader = asking.server.leader
+    leader = client.server.leader
     if leader is not None and not leader.deposed:
         intake.cancel(leader, job)
-        await intake.after_intake(leader)
+        await intake.wake_after_intake(leader)
         return
-    await _notify(asking, CANCELLED_PATH + job, b'')
+    await _notify(client, CANCELLED_PATH + job, b'')
 
 
-async def _notify(asking: Asking, target: str, body: bytes) -> None:
+async def _notify(client: PeerClient, target: str, body: bytes) -> None:
     """Call the leader, if another server leads; a failure is only logged."""
-    leader = asking.server.roles.leader
-    if leader is None or leader.process == asking.server.process:
+    leader = client.server.roles.leader
+    if leader is None or leader.process == client.server.process:
         return
     try:
         await transport.call(
-            asking.open_connections,
+            client.open_connections,
             leader.address,
             'POST',
             target,
@@ -118,19 +118,19 @@
         event_log.emit('caller', 'leader-not-told', why=error.reason)
 
 
-async def fetch_state(asking: Asking, job: ids.JobId) -> QueryResult:
+async def fetch_state(client: PeerClient, job: ids.JobId) -> QueryResult:
     """Return a job's state and tenant; the state is None for an unknown job.
 
     :raises errors.CallFailed: neither the leader nor the store answers
     """
-    leader = asking.server.leader
+    leader = client.server.leader
     if leader is not None and not leader.deposed:
-        answer = tell_state(leader, job)
+        answer = answer_state(leader, job)
     else:
-        answer = await _call_leader(asking, STATE_PATH + job)
+        answer = await _call_leader(client, STATE_PATH + job)
     if answer is not None and answer.state is not None:
         return answer
-    return await _stored_state(asking.server.store, job)
+    return await _stored_state(client.server.store, job)
 
 
 async def _stored_state(store: stores.Store, job: ids.JobId) -> QueryResult:
@@ -142,7 +142,7 @@
         stored = await stores.read(store, record.job_key(job))
         if stored is None:
             return QueryResult()
-        owned = msgspec.json.decode(stored.value, type=model.Owned)
+        owned = msgspec.json.decode(stored.value, type=model.JobOwner)
     except msgspec.MsgspecError as error:
         raise errors.CallFailed(
             verdicts.Verdict.NOT_RUN, f'malformed record in the store: {error}'
@@ -150,16 +150,16 @@
     return QueryResult(model.State.QUEUED, tenant=owned.tenant)
 
 
-async def count_pending(asking: Asking, queue: str) -> int:
+async def count_pending(client: PeerClient, queue: str) -> int:
     """Count a queue's accepted jobs of which no task has started.
 
     :raises errors.CallFailed: the leader doesn't answer
     """
-    leader = asking.server.leader
+    leader = client.server.leader
     if leader is not None and not leader.deposed:
-        return tell_pending(leader, queue).pending
+        return answer_pending(leader, queue).pending
     answer = await _call_leader(
-        asking, PENDING_PATH + urllib.parse.quote(queue, '')
+        client, PENDING_PATH + urllib.parse.quote(queue, '')
     )
     if answer is None:
         raise errors.CallFailed(
@@ -168,14 +168,14 @@
     return answer.pending
 
 
-async def _call_leader(asking: Asking, target: str) -> QueryResult | None:
+async def _call_leader(client: PeerClient, target: str) -> QueryResult | None:
     """Call the leader; return None if it doesn't answer or doesn't lead."""
-    leader = asking.server.roles.leader
-    if leader is None or leader.process == asking.server.process:
+    leader = client.server.roles.leader
+    if leader is None or leader.process == client.server.process:
         return None
     try:
         answer = await transport.call(
-            asking.open_connections,
+            client.open_connections,
             leader.address,
             'GET',
             target,
--- a/oleanderwood/ids.py
+++ b/oleanderwood/ids.py
@@ -5,7 +5,7 @@
 ExecutorId = typing.NewType('ExecutorId', str)
 """An executor's id, which it may keep as it starts again."""
 VmId = typing.NewType('VmId', str)
-"""One life of an executor; see :mod:`oleanderwood.pools.lives`."""
+"""One life of an executor; see :mod:`oleanderwood.pools.incarnations`."""
 Fence = typing.NewType('Fence', int)
 """See :mod:`oleanderwood.pools.fences`."""
 PoolId = typing.NewType('PoolId', str)
--- a/oleanderwood/jobs/crashes.py
+++ b/oleanderwood/jobs/crashes.py
@@ -72,7 +72,7 @@
     return len(crashes) > 1 or any(_is_early(row) for row in crashes)
 
 
-def is_guilty(crashes: Crashes) -> bool:
+def is_conclusive(crashes: Crashes) -> bool:
     """Return whether the evidence suffices to fail the task's job."""
     rows = sorted(crashes, key=lambda crash: crash.attempt)
     points = 0
--- a/oleanderwood/jobs/isolation.py
+++ b/oleanderwood/jobs/isolation.py
@@ -20,7 +20,7 @@
     return found
 
 
-def note(
+def record_crash(
     ledger: ledgers.Ledger,
     task: ledgers.Task,
     crash: crashes_.Crash,
@@ -31,11 +31,11 @@
     The task's job fails if the evidence against the task now suffices.
     """
     entry = task.group.entry
-    if task.done or ledgers.final(entry):
+    if task.done or ledgers.is_final(entry):
         return
     task.crashes[crash.attempt] = crash
     update_suspects(task)
-    entry.crashes_noted += 1
+    entry.crash_revision += 1
     ledgers.touch(ledger, entry)
     if crashes_workers(task):
         found = len(crashes_of(task))
@@ -54,7 +54,7 @@
         sum(attempt != crashes_.UNREPORTED for attempt in member.crashes)
         for member in members
     )
-    return known > 1 and crashes_.is_guilty(crashes_of(task).values())
+    return known > 1 and crashes_.is_conclusive(crashes_of(task).values())
 
 
 def update_suspects(task: ledgers.Task) -> None:
@@ -112,7 +112,7 @@
     return crashes_.probation_s(crashes_of(task).values())
 
 
-def note_going_on(task: ledgers.Task, age_s: float) -> bool:
+def update_probation(task: ledgers.Task, age_s: float) -> bool:
     """Record that a run still goes on; return whether this ends probation.
 
     :param age_s: lower bound of the run's age
@@ -123,13 +123,13 @@
     return True
 
 
-def is_kept(entry: ledgers.Entry) -> bool:
+def are_crashes_stored(entry: ledgers.Entry) -> bool:
     """Return whether the store holds all crashes recorded for a job.
 
     Suspected tasks don't start before that: otherwise the next leader would
     count their crashes from zero.
     """
-    return entry.crashes_kept >= entry.crashes_noted
+    return entry.stored_crash_revision >= entry.crash_revision
 
 
 def startable(group: ledgers.Group) -> list[ledgers.Task]:
@@ -141,7 +141,7 @@
     waiting = group.waiting
     if not group.suspects:
         return list(waiting.values())
-    if not is_kept(group.entry):
+    if not are_crashes_stored(group.entry):
         return []
     tried = [task for task in group.suspects.values() if not is_waiting(task)]
     on_probation = sum(is_on_probation(task) for task in tried)
--- a/oleanderwood/jobs/ledger.py
+++ b/oleanderwood/jobs/ledger.py
@@ -35,7 +35,7 @@
     RUNNING = 'running'
     """Its worker has confirmed that it runs."""
 
-    DOUBTFUL = 'doubtful'
+    UNCONFIRMED = 'doubtful'
     """The order to start it got no answer, or a report doesn't list it."""
 
     STOPPING = 'stopping'
@@ -51,17 +51,17 @@
     :ivar ticket: advice ticket under which it was started; '' if none is
         needed
     :ivar stop_answered_s: when its worker acknowledged the order to stop it
-    :ivar at_work_since_s: since when a long-running task serves; None if it
+    :ivar serving_since_s: since when a long-running task serves; None if it
         doesn't
     :ivar percent: progress that the worker reported last
-    :ivar moved_on_s: when the run was confirmed or its reported progress
+    :ivar last_progress_s: when the run was confirmed or its reported progress
         last changed; 0 before
     :ivar pace_percent: part of its speed at which the worker was told to run
         it; None if unknown, as for an adopted run that uses leftover
         processor time: an earlier leader may have set a pace or not
-    :ivar looked_at_s: when its progress was last sampled;
-        ``looked_percent`` is the progress at that time
-    :ivar held_left_s: estimated time to its end while other runs starve it;
+    :ivar sampled_at_s: when its progress was last sampled;
+        ``sampled_percent`` is the progress at that time
+    :ivar starved_left_s: estimated time to its end while other runs starve it;
         None if it isn't starved
     :ivar sent: the order to start it may have left the leader, at ``sent_s``
         (None if the time is unknown)
@@ -79,14 +79,14 @@
     checkpoint: str = ''
     ticket: str = ''
     stop_answered_s: float | None = None
-    at_work_since_s: float | None = None
+    serving_since_s: float | None = None
     percent: float = 0.0
-    moved_on_s: float = 0.0
+    last_progress_s: float = 0.0
     latency_or_cpu: float = 0.0
     pace_percent: int | None = 100
-    looked_at_s: float | None = None
-    looked_percent: float = 0.0
-    held_left_s: float | None = None
+    sampled_at_s: float | None = None
+    sampled_percent: float = 0.0
+    starved_left_s: float | None = None
     sent: bool = False
     sent_s: float | None = None
     seen: bool = False
@@ -99,12 +99,12 @@
 
     :ivar run: the run that may be going on
     :ivar last_attempt: highest attempt number used so far
-    :ivar over_attempt: all runs up to this attempt number are over
+    :ivar last_ended_attempt: all runs up to this attempt number are over
     :ivar failed_attempts: attempt numbers of the runs that failed
     :ivar failed_on: worker on which a run of it last failed or stalled
     :ivar not_before_s: earliest time of the next start
-    :ivar away_since_s: since when a long-running task hasn't served
-    :ivar given_up: a run of it was considered over without a report from
+    :ivar not_serving_since_s: since when a long-running task hasn't served
+    :ivar presumed_over: a run of it was considered over without a report from
         its worker
     :ivar crashes: crashes of workers that may have run it, by attempt
     :ivar losses: number of its runs that may have ended with their worker
@@ -118,13 +118,13 @@
     run: Run | None = None
     done: bool = False
     last_attempt: int = 0
-    over_attempt: int = 0
+    last_ended_attempt: int = 0
     failed_attempts: set[int] = dataclasses.field(default_factory=set)
     failed_on: ids.VmId = ids.VmId('')
     checkpoint: str = ''
     not_before_s: float = 0.0
-    away_since_s: float = 0.0
-    given_up: bool = False
+    not_serving_since_s: float = 0.0
+    presumed_over: bool = False
     crashes: dict[int, crashes_.Crash] = dataclasses.field(
         default_factory=dict
     )
@@ -168,14 +168,14 @@
     :ivar inherited: an earlier leader may have started tasks of it
     :ivar groups: by occurrence and index of the step
     :ivar state: present state
-    :ivar kept_state: state that the store holds
+    :ivar stored_state: state that the store holds
     :ivar cause: why it has failed
     :ivar more_pools: pools in which its tasks may be started, in addition to
         the pool of its queue at submission
-    :ivar more_pools_kept: the part of ``more_pools`` that the store holds
-    :ivar crashes_noted: number of changes to the crashes recorded for its
-        tasks; the store holds the first ``crashes_kept`` of them
-    :ivar beyond: it arrived when its tenant had used up its guaranteed rate
+    :ivar more_pools_stored: the part of ``more_pools`` that the store holds
+    :ivar crash_revision: number of changes to the crashes recorded for its
+        tasks; the store holds the first ``stored_crash_revision`` of them
+    :ivar over_rate: it arrived when its tenant had used up its guaranteed rate
     :ivar first_unwritten: number of its first change that the store lacks
     :ivar expected_s: expected time of a task, by step, computed from version
         ``expected_version`` of the measured lengths
@@ -188,15 +188,15 @@
         default_factory=dict
     )
     state: model.State = model.State.QUEUED
-    kept_state: model.State = model.State.QUEUED
+    stored_state: model.State = model.State.QUEUED
     cause: str = ''
     more_pools: set[ids.ServiceId] = dataclasses.field(default_factory=set)
-    more_pools_kept: set[ids.ServiceId] = dataclasses.field(
+    more_pools_stored: set[ids.ServiceId] = dataclasses.field(
         default_factory=set
     )
-    crashes_noted: int = 0
-    crashes_kept: int = 0
-    beyond: bool = False
+    crash_revision: int = 0
+    stored_crash_revision: int = 0
+    over_rate: bool = False
     first_unwritten: int = 0
     ended_s: float = 0.0
     expected_s: tuple[float, ...] = ()
@@ -253,7 +253,7 @@
             entry.groups[occurrence, number] = group
             for index in range(step.tasks):
                 name = model.task_name(job.job, occurrence, number, index)
-                task = Task(name, group, index, away_since_s=now_s)
+                task = Task(name, group, index, not_serving_since_s=now_s)
                 group.tasks.append(task)
                 group.waiting[index] = task
             ledger.open_groups[group] = None
@@ -267,7 +267,7 @@
     A pool other than the job's own must have been written first, so that a
     later leader knows where its tasks may run.
     """
-    return pool == entry.job.queue.service or pool in entry.more_pools_kept
+    return pool == entry.job.queue.service or pool in entry.more_pools_stored
 
 
 def open_pool(ledger: Ledger, entry: Entry, pool: ids.ServiceId) -> None:
@@ -277,12 +277,12 @@
         touch(ledger, entry)
 
 
-def kept_pools(entry: Entry) -> set[ids.ServiceId]:
+def stored_pools(entry: Entry) -> set[ids.ServiceId]:
     """Return the pools in which a job's tasks may have been started."""
-    return {entry.job.queue.service, *entry.more_pools_kept}
+    return {entry.job.queue.service, *entry.more_pools_stored}
 
 
-def final(entry: Entry) -> bool:
+def is_final(entry: Entry) -> bool:
     """Return whether a job is completed, failed or cancelled."""
     return entry.state in model.FINAL
 
@@ -311,7 +311,7 @@
     return group.tasks[index]
 
 
-def begin(
+def begin_run(
     ledger: Ledger,
     task: Task,
     worker: ids.VmId,
@@ -325,7 +325,7 @@
     :raises errors.InvariantBreach: the task may be running, is done, or
         its job has ended
     """
-    if task.run is not None or task.done or final(task.group.entry):
+    if task.run is not None or task.done or is_final(task.group.entry):
         raise errors.InvariantBreach(f'task {task.name} must not be started')
     _count_run(ledger, task, 1)
     attempt = attempt or next_attempt(ledger, task)
@@ -363,7 +363,7 @@
     base = 0
     if task.group.entry.inherited:
         base = (ledger.term - 1) * ATTEMPTS_PER_TERM
-    return max(task.last_attempt, task.over_attempt, base) + 1
+    return max(task.last_attempt, task.last_ended_attempt, base) + 1
 
 
 def adopt(
@@ -374,7 +374,7 @@
         _count_run(ledger, task, 1)
     task.last_attempt = max(task.last_attempt, attempt)
     task.run = Run(worker, attempt, RunPhase.RUNNING, now_s, now_s)
-    task.run.moved_on_s = now_s
+    task.run.last_progress_s = now_s
     task.run.sent = task.run.seen = True
     if task.group.step.uses_leftover:
         task.run.pace_percent = None
@@ -391,7 +391,7 @@
     run.phase_since_s = now_s
 
 
-def over(
+def end_run(
     ledger: Ledger, task: Task, now_s: float, checkpoint: str = ''
 ) -> None:
     """Record that a task's run is over; the task waits unless it is done."""
@@ -399,11 +399,11 @@
     if run is None:
         return
     _count_run(ledger, task, -1)
-    task.over_attempt = max(task.over_attempt, run.attempt)
+    task.last_ended_attempt = max(task.last_ended_attempt, run.attempt)
     note_checkpoint(task, checkpoint)
-    task.away_since_s = now_s
+    task.not_serving_since_s = now_s
     task.run = None
-    if not task.done and not final(task.group.entry):
+    if not task.done and not is_final(task.group.entry):
         task.group.waiting[task.index] = task
         ledger.open_groups[task.group] = None
 
@@ -452,7 +452,7 @@
     task.failed_on = worker
     entry = task.group.entry
     touch(ledger, entry)
-    if task.group.step.lasting or task.done or final(entry):
+    if task.group.step.is_long_running or task.done or is_final(entry):
         return True
     failures = _failures(task)
     if failures >= most_attempts:
@@ -473,7 +473,7 @@
     ledger: Ledger, entry: Entry, state: model.State, now_s: float
 ) -> None:
     """Set a job's final state, and drop its tasks that wait."""
-    if final(entry):
+    if is_final(entry):
         return
     entry.state = state
     entry.ended_s = now_s
@@ -485,7 +485,7 @@
 
 def shown_state(entry: Entry) -> model.State:
     """Return the state for callers: a final one only once it is stored."""
-    if final(entry) and entry.kept_state is not entry.state:
+    if is_final(entry) and entry.stored_state is not entry.state:
         return model.State.RUNNING
     return entry.state
 
@@ -513,7 +513,7 @@
 
 
 def _end_if_completed(ledger: Ledger, entry: Entry, now_s: float) -> None:
-    if final(entry):
+    if is_final(entry):
         return
     if all(group.left == 0 for group in entry.groups.values()):
         end(ledger, entry, model.State.COMPLETED, now_s)
@@ -540,18 +540,18 @@
     if run is None:
         return
     if row.percent != run.percent:
-        run.moved_on_s = now_s
+        run.last_progress_s = now_s
     run.percent = row.percent
     run.latency_or_cpu = row.latency_or_cpu
     note_checkpoint(task, row.checkpoint)
-    if task.group.step.lasting:
+    if task.group.step.is_long_running:
         _update_serving(task, run, now_s)
 
 
 def _update_serving(task: Task, run: Run, now_s: float) -> None:
     if run.percent >= SERVING_PERCENT:
-        if run.at_work_since_s is None:
-            run.at_work_since_s = now_s
-    elif run.at_work_since_s is not None:
-        run.at_work_since_s = None
-        task.away_since_s = now_s
+        if run.serving_since_s is None:
+            run.serving_since_s = now_s
+    elif run.serving_since_s is not None:
+        run.serving_since_s = None
+        task.not_serving_since_s = now_s
--- a/oleanderwood/jobs/model.py
+++ b/oleanderwood/jobs/model.py
@@ -32,7 +32,7 @@
     gpus: int = 0
 
 
-def asks_as_much(needs: Resources, minimum: Resources) -> bool:
+def needs_at_least(needs: Resources, minimum: Resources) -> bool:
     """Return whether needs reach a minimum in each resource."""
     return (
         needs.cpu_millicores >= minimum.cpu_millicores
@@ -66,11 +66,11 @@
     :ivar max_per_worker: maximal number of tasks of the step on one worker;
         0 for no limit
     :ivar speculative: copies of a task may run at the same time
-    :ivar lasting: the tasks run until the job is cancelled
+    :ivar is_long_running: the tasks run until the job is cancelled
     :ivar latency_target_ms: limit of a serving task's latency; 0 if the tasks
         don't serve
     :ivar uses_leftover: the tasks use the processor time that others leave
-    :ivar most_away: maximal number of tasks that may be down at once
+    :ivar max_unavailable: maximal number of tasks that may be down at once
         because of the leader's own orders
     """
 
@@ -85,11 +85,11 @@
     near_rack: str = ''
     max_per_worker: int = 0
     speculative: bool = False
-    lasting: bool = False
+    is_long_running: bool = False
     image: str = ''
     latency_target_ms: float = 0.0
     uses_leftover: bool = False
-    most_away: int = 0
+    max_unavailable: int = 0
 
 
 class Work(msgspec.Struct, frozen=True, rename=stored.WORK):
@@ -130,7 +130,7 @@
     tenant: ids.TenantId = ids.TenantId('')
 
 
-class Owned(msgspec.Struct, frozen=True):
+class JobOwner(msgspec.Struct, frozen=True):
     """The tenant of a job, decoded without the rest of the stored job."""
 
     tenant: ids.TenantId = ids.TenantId('')
--- a/oleanderwood/jobs/persistence.py
+++ b/oleanderwood/jobs/persistence.py
@@ -9,7 +9,7 @@
 from oleanderwood.jobs import ledger as ledgers
 
 
-def take_up(ledger: ledgers.Ledger, max_jobs: int) -> list[ledgers.Entry]:
+def take_dirty(ledger: ledgers.Ledger, max_jobs: int) -> list[ledgers.Entry]:
     """Return up to ``max_jobs`` jobs to be written next, ended ones first.
 
     A job that is being written is left out until that write is done: of two
@@ -20,7 +20,7 @@
         for name, entry in ledger.dirty.items()
         if name not in ledger.under_way
     ]
-    free.sort(key=lambda entry: not ledgers.final(entry))
+    free.sort(key=lambda entry: not ledgers.is_final(entry))
     for entry in free[:max_jobs]:
         del ledger.dirty[entry.job.job]
         ledger.under_way[entry.job.job] = entry.first_unwritten
--- a/oleanderwood/jobs/record.py
+++ b/oleanderwood/jobs/record.py
@@ -116,12 +116,12 @@
             _restore_group(ledger, group, row, now_s)
     if progress.state in model.FINAL:
         ledgers.end(ledger, entry, progress.state, now_s)
-    elif not ledgers.final(entry):
+    elif not ledgers.is_final(entry):
         entry.state = progress.state
-    entry.kept_state = progress.state
+    entry.stored_state = progress.state
     entry.more_pools.update(progress.more_pools)
-    entry.more_pools_kept.update(progress.more_pools)
-    if entry.kept_state is entry.state:
+    entry.more_pools_stored.update(progress.more_pools)
+    if entry.stored_state is entry.state:
         ledger.dirty.pop(entry.job.job, None)
 
 
--- a/oleanderwood/jobs/stored.py
+++ b/oleanderwood/jobs/stored.py
@@ -9,8 +9,8 @@
 STEP = {
     'guess_ms': 'estimate_ms',
     'one_rack': 'same_rack',
-    'lasting': 'long_running',
-    'most_away': 'may_miss',
+    'is_long_running': 'long_running',
+    'max_unavailable': 'may_miss',
 }
 WORK = {'repeat_every_ms': 'interval_ms'}
 QUEUE = {'most_attempts': 'max_attempts'}
--- a/oleanderwood/leading/advising.py
+++ b/oleanderwood/leading/advising.py
@@ -52,7 +52,7 @@
         if not queue.needs_advice:
             continue
         lacks = placing.lacks_advice(group, present, now_s)
-        if not lacks and not placing.has_fitting_newcomer(
+        if not lacks and not placing.has_new_matching_worker(
             group, leader.workers.values(), queue.service
         ):
             continue
@@ -98,4 +98,4 @@
         group.advised_until_s = now_s + max(
             0.0, advised.valid_s - EXPIRY_MARGIN_S
         )
-    await leader.due.set()
+    await leader.placement_due.set()
--- a/oleanderwood/leading/confirming.py
+++ b/oleanderwood/leading/confirmation.py
@@ -38,7 +38,7 @@
 """Timeout of a call to another server, in seconds, in a network with a latency
 of 1 ms."""
 
-PATH = '/contact'
+CONTACT_PATH = '/contact'
 
 
 class ContactAnswer(msgspec.Struct, frozen=True):
@@ -56,13 +56,13 @@
     leading_term: int = 0
 
 
-async def contact(server: states.Server, target: str) -> ContactAnswer:
+async def answer_contact(server: states.Server, target: str) -> ContactAnswer:
     """Answer another server's call about contact with the store.
 
     The call of a later leader contains its term: a leader of an earlier term
     then stops, and a server that is still taking over does not start to lead.
     """
-    asker_term = target.removeprefix(PATH).removeprefix('/')
+    asker_term = target.removeprefix(CONTACT_PATH).removeprefix('/')
     if asker_term.isdecimal():
         server.max_asking_term = max(server.max_asking_term, int(asker_term))
     leading = server.leader
@@ -73,7 +73,7 @@
     now_s = clock.now_s()
     return ContactAnswer(
         leader.term if leader else 0,
-        now_s - server.contact_s,
+        now_s - server.store_contact_s,
         server.process,
         now_s - server.began_s,
         leading.term if acts else 0,
@@ -167,7 +167,7 @@
             leader.peer_connections,
             address,
             'GET',
-            PATH,
+            CONTACT_PATH,
             timeout_s=ASK_TIMEOUT_S,
         )
         return msgspec.json.decode(answer.body, type=ContactAnswer)
--- a/oleanderwood/leading/dispatch.py
+++ b/oleanderwood/leading/dispatch.py
@@ -12,7 +12,7 @@
 from oleanderwood.leading import state as states
 from oleanderwood.leading import worker_loop
 from oleanderwood.platform import executors
-from oleanderwood.pools import lives
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import reports
 from oleanderwood.pools import workers as workers_
 from oleanderwood import server_metrics
@@ -55,16 +55,16 @@
     now_s = clock.now_s()
     entry = task.group.entry
     if (
-        ledgers.final(entry)
+        ledgers.is_final(entry)
         or task.done
         or not _may_start(leader, task)
         or not workers_.accepts(worker, now_s)
         or _was_just_refused(worker, task, now_s)
     ):
-        await _not_started(leader, worker, task, 'not sent')
+        await _requeue_unstarted(leader, worker, task, 'not sent')
         return
     lease_end_ms = worker_loop.new_lease_end_ms(leader, worker, now_s)
-    workers_.note_lease(worker, lease_end_ms)
+    workers_.record_lease(worker, lease_end_ms)
     fence = states.fence_of(leader, worker)
     order = reports.Start(
         task.name,
@@ -100,9 +100,9 @@
 
     Several orders were decided together by the free capacity it had reported.
     """
-    refused_needs = workers_.refused(worker, now_s)
+    refused_needs = workers_.recent_rejection(worker, now_s)
     needs = task.group.step.needs
-    return refused_needs is not None and model.asks_as_much(
+    return refused_needs is not None and model.needs_at_least(
         needs, refused_needs
     )
 
@@ -113,7 +113,7 @@
     If a later leader may exist, it may have read the end of a run that this
     leader marked as lost.
     """
-    if task.given_up and not states.holds_lease(leader):
+    if task.presumed_over and not states.holds_lease(leader):
         return False
     return states.may_act(leader)
 
@@ -125,13 +125,15 @@
     if error.verdict is verdicts.Verdict.NOT_RUN:
         worker_loop.note_silence(worker, error.reason)
         if task.run is run:
-            await _not_started(leader, worker, task, 'not sent')
+            await _requeue_unstarted(leader, worker, task, 'not sent')
         return
     _mark_unconfirmed(task, run)
     # Its executor may have restarted meanwhile.
-    executor = lives.executor(worker.entry.worker)
-    for incarnation in states.lives_of(leader, executor):
-        incarnation.doubtful[workers_.RunName(task.name, run.attempt)] = None
+    executor = incarnations.executor_of(worker.entry.worker)
+    for incarnation in states.incarnations_of(leader, executor):
+        incarnation.unconfirmed_runs[
+            workers_.RunName(task.name, run.attempt)
+        ] = None
     await worker_loop.renew_once(leader, worker, 0)
 
 
@@ -141,8 +143,8 @@
         if task.run is run and run.phase is ledgers.RunPhase.ORDERED:
             now_s = clock.now_s()
             ledgers.set_phase(run, ledgers.RunPhase.RUNNING, now_s)
-            run.moved_on_s = now_s
-            if ledgers.final(task.group.entry) or task.done:
+            run.last_progress_s = now_s
+            if ledgers.is_final(task.group.entry) or task.done:
                 await worker_loop.stop_run(leader, task)
         if isolation.is_on_probation(task):
             wait_s = isolation.probation_s(task)
@@ -159,11 +161,11 @@
         task.group.advised_until_s = 0.0
     if refusal is executors.Refusal.NO_ROOM:
         needs = task.group.step.needs
-        workers_.note_no_room(worker, needs, clock.now_s())
+        workers_.record_rejection(worker, needs, clock.now_s())
     if refusal is executors.Refusal.UNHEALTHY:
         worker.unhealthy_until_s = clock.now_s() + UNHEALTHY_PAUSE_S
     if task.run is run:
-        await _not_started(leader, worker, task, refusal.value)
+        await _requeue_unstarted(leader, worker, task, refusal.value)
 
 
 async def _start_fenced(leader, worker, task, run, fence) -> None:
@@ -182,7 +184,7 @@
     The worker can be marked as gone only while the leader's lease is in force.
     """
     if task.run is run and run.phase is ledgers.RunPhase.ORDERED:
-        ledgers.set_phase(run, ledgers.RunPhase.DOUBTFUL, clock.now_s())
+        ledgers.set_phase(run, ledgers.RunPhase.UNCONFIRMED, clock.now_s())
 
 
 async def _renew_later(
@@ -200,14 +202,14 @@
         await worker_loop.renew_once(leader, worker, 0)
     except Exception as error:
         event_log.emit('leader', 'fault', why=repr(error))
-        await states.depose(leader, f'a fault: {error!r}')
+        await states.depose(leader, f'unexpected exception: {error!r}')
 
 
-async def _not_started(leader, worker, task, why) -> None:
+async def _requeue_unstarted(leader, worker, task, why) -> None:
     """Return a task to the queue after a start that certainly did not run."""
     task.not_before_s = clock.now_s() + REFUSED_PAUSE_S
     workers_.end_run(leader.ledger, worker, task, clock.now_s())
-    await leader.due.set(worker.entry.service)
+    await leader.placement_due.set(worker.entry.service)
 
 
 def _log_start(leader, worker, task, run, outcome, why) -> None:
--- a/oleanderwood/leading/election.py
+++ b/oleanderwood/leading/election.py
@@ -54,7 +54,7 @@
 def _can_run(server: states.Server) -> bool:
     """Return whether nobody is known to lead and this server could."""
     roles = server.roles
-    if not roles.known or server.configuration is None:
+    if not roles.is_loaded or server.configuration is None:
         return False
     if clock.now_s() >= server.lease_until_s:
         return False
@@ -129,7 +129,7 @@
     alive = found.get(roles_.ALIVE_KEY)
     if alive is None or alive.removed:
         roles_.note_alive(roles, '', 0, 0)
-    roles_.learn(roles, conflict.items)
+    roles_.apply_items(roles, conflict.items)
     leader = roles.leader
     if leader is None or leader.process != server.process:
         return None
--- a/oleanderwood/leading/fenced_writes.py
+++ b/oleanderwood/leading/fenced_writes.py
@@ -32,7 +32,7 @@
     :raises errors.CallFailed: the values may be written, now or later, but
         never over those of a later call
     """
-    known = leader.written
+    known = leader.written_revisions
     timeout_s = FIRST_TIMEOUT_S
     for _attempt in range(MAX_TRIES):
         conditions = {key: known.get(key, 0) for key in values}
@@ -94,11 +94,11 @@
     if found.get(roles_.LEADER_KEY) != leader.revision:
         raise conflict
     for key in values:
-        if found.get(key, 0) != leader.written.get(key, 0):
+        if found.get(key, 0) != leader.written_revisions.get(key, 0):
             event_log.emit('store', 'written-meanwhile', key=key)
-        leader.written[key] = found.get(key, 0)
+        leader.written_revisions[key] = found.get(key, 0)
 
 
 def note_read(leader: states.Leader, item: stores.Item) -> None:
     """Record the revision of a value read by a new leader."""
-    leader.written[item.key] = item.revision
+    leader.written_revisions[item.key] = item.revision
--- a/oleanderwood/leading/fleet_loop.py
+++ b/oleanderwood/leading/fleet_loop.py
@@ -10,7 +10,7 @@
 from oleanderwood import event_log
 from oleanderwood.jobs import ledger as ledgers
 from oleanderwood.leading import fenced_writes
-from oleanderwood.leading import machine_turns
+from oleanderwood.leading import machine_handover
 from oleanderwood.leading import pool_loop
 from oleanderwood.leading import state as states
 from oleanderwood.leading import worker_loop
@@ -64,7 +64,7 @@
 def _workers_by_machine(leader: states.Leader) -> dict[str, workers_.Worker]:
     found = {}
     for name, machine in leader.fleet.machines.items():
-        worker = states.worker_of(leader, machine.worker)
+        worker = states.latest_incarnation(leader, machine.worker)
         if worker is not None and worker.entry.machine == name:
             found[name] = worker
     return found
@@ -86,7 +86,7 @@
         settings.maintenance_s,
         now_s,
         _bounds(leader),
-        machine_turns.possibly_down(leader),
+        machine_handover.possibly_down(leader),
     )
     progress.closed = decision.close
     if decision.waits != progress.waits:
@@ -101,15 +101,15 @@
     for name, worker in by_machine.items():
         if name in progress.wave.machines:
             worker.closed = name in decision.close
-            worker.due = name not in progress.begun
+            worker.maintenance_due = name not in progress.begun
     if decision.relocate is not None and not decision.order:
         await _relocate(leader, decision.relocate)
     order = [
         name
         for name in decision.order
-        if machine_turns.may_order(leader, name)
-    ][: machine_turns.allowance(leader)]
-    if order and not await machine_turns.announce(
+        if machine_handover.may_order(leader, name)
+    ][: machine_handover.allowance(leader)]
+    if order and not await machine_handover.announce(
         leader, order, maintenance=True
     ):
         return
@@ -139,12 +139,12 @@
         worker
         for worker in leader.workers.values()
         if worker.entry.service == pool
-        and worker.rostered
+        and worker.is_in_stored_list
         and worker is not home
-        and not worker.due
+        and not worker.maintenance_due
     ]
-    if not placing.has_room(task.group, others, clock.now_s()):
-        leader.fleet.crowded.add(pool)
+    if not placing.has_free_capacity(task.group, others, clock.now_s()):
+        leader.fleet.pools_without_capacity.add(pool)
         return
     event_log.emit('wave', 'relocates', task=task.name)
     await worker_loop.stop_run(leader, task)
@@ -175,14 +175,18 @@
     if not states.holds_lease(leader):
         return
     now_s = clock.now_s()
-    if worker is not None and not disruption_budget.may_end_all(worker, now_s):
+    if worker is not None and not disruption_budget.may_interrupt_all(
+        worker, now_s
+    ):
         # An earlier order of this pass has used up the disruption budget.
         return
     wave = progress.wave.wave
-    ordered = rolling.Ordered(leader.fleet.machines[name].worker, now_s)
+    ordered = rolling.MaintenanceOrder(
+        leader.fleet.machines[name].worker, now_s
+    )
     progress.down[name] = ordered
     if worker is not None:
-        disruption_budget.note_order(worker, now_s)
+        disruption_budget.mark_unavailable(worker, now_s)
     try:
         outcome = await machine_calls.maintain(
             leader.machine_calls, name, wave, leader.term
@@ -239,7 +243,7 @@
     If the write is lost, a later leader sends an order that changes nothing.
     """
     key = f'{WAVES_PREFIX}{progress.wave.wave}'
-    age_s = clock.now_s() - progress.seen_s
+    age_s = clock.now_s() - progress.first_seen_s
     stored = StoredWave(sorted(progress.begun), clock.wall_ms() - age_s * 1000)
     values = {key: msgspec.json.encode(stored)}
     await fenced_writes.try_write(leader, values, 'wave', 'begun-not-written')
@@ -250,4 +254,4 @@
     stored = msgspec.json.decode(value, type=StoredWave)
     progress.begun.update(stored.begun)
     age_s = max(0.0, (clock.wall_ms() - stored.seen_wall_ms) / 1000)
-    progress.seen_s = clock.now_s() - age_s
+    progress.first_seen_s = clock.now_s() - age_s
--- a/oleanderwood/leading/intake.py
+++ b/oleanderwood/leading/intake.py
@@ -11,8 +11,8 @@
 from oleanderwood.jobs import queues
 from oleanderwood.jobs import record
 from oleanderwood.leading import fleet_loop
-from oleanderwood.leading import meeting
 from oleanderwood.leading import pool_loop
+from oleanderwood.leading import registration
 from oleanderwood.leading import state as states
 from oleanderwood.leading import worker_loop
 from oleanderwood.maintenance import rolling
@@ -22,7 +22,7 @@
 from oleanderwood.platform import store as stores
 from oleanderwood.policy import reading
 from oleanderwood.pools import entries as entries_
-from oleanderwood.pools import lives
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import reports
 from oleanderwood.pools import workers as workers_
 from oleanderwood import server_metrics
@@ -136,18 +136,18 @@
     )
 
 
-async def take_jobs(leader: states.Leader, jobs: list[model.Job]) -> None:
+async def add_jobs(leader: states.Leader, jobs: list[model.Job]) -> None:
     """Add jobs reported by the server that wrote them."""
     now_s = clock.now_s()
     for job in jobs:
         _add_job(leader, job, now_s, taking_over=False)
-    await after_intake(leader)
+    await wake_after_intake(leader)
 
 
 def _traits(job: model.Job) -> list[str]:
     """Return the special requirements of a job's steps, for the log."""
     named = {
-        'long-running': any(step.lasting for step in job.work.steps),
+        'long-running': any(step.is_long_running for step in job.work.steps),
         'leftover': any(step.uses_leftover for step in job.work.steps),
         'gang': any(step.gang for step in job.work.steps),
         'label': any(step.label for step in job.work.steps),
@@ -167,21 +167,21 @@
     if entry is None:
         leader.early_cancels.add(job)
         return
-    if ledgers.final(entry):
+    if ledgers.is_final(entry):
         return
     event_log.emit('job', 'cancelled', job=job, was=entry.state.value)
     ledgers.end(leader.ledger, entry, model.State.CANCELLED, clock.now_s())
 
 
-async def after_intake(leader: states.Leader) -> None:
+async def wake_after_intake(leader: states.Leader) -> None:
     """Wake the tasks that newly added jobs and cancels concern."""
     if leader.deposed:
         await leader.ended.set()
         return
-    await leader.due.set()
+    await leader.placement_due.set()
     if leader.ledger.dirty:
         await worker_loop.stop_ended_jobs(leader)
-        await leader.unkept.set()
+        await leader.progress_changed.set()
 
 
 async def apply_worker(leader: states.Leader, item: stores.Item) -> None:
@@ -209,7 +209,7 @@
 
     :param current: the incarnation that has the entry
     """
-    for known in states.lives_of(leader, name):
+    for known in states.incarnations_of(leader, name):
         if known.listed and known is not current:
             known.listed = False
             event_log.emit('worker', 'unlisted', worker=known.entry.worker)
@@ -226,20 +226,20 @@
     A worker that is known under this id continues as one without an entry.
     """
     server_metrics.ENTRIES_REFUSED.labels(error.fault.value).inc()
-    if entries_.note_refusal(leader.entries, name, error.reason):
+    if entries_.record_refusal(leader.entries, name, error.reason):
         event_log.emit(
             'worker',
             event,
-            worker=name[: entries_.MAX_REASON],
+            worker=name[: entries_.MAX_REASON_CHARS],
             fault=error.fault.value,
             why=error.reason,
-            known=name in leader.lives,
+            known=name in leader.incarnations,
         )
     _mark_unlisted(leader, name)
 
 
 async def _apply_entry(leader: states.Leader, entry: reports.Entry) -> None:
-    name = lives.executor(entry.worker)
+    name = incarnations.executor_of(entry.worker)
     known = leader.workers.get(entry.worker)
     _mark_unlisted(leader, name, known)
     if known is not None and known.provisional:
@@ -248,7 +248,9 @@
         # If nobody has answered at its known location, it is registered
         # anew.
         may_run = workers_.may_run(known, clock.now_s())
-        if may_run or not await worker_loop.lost(leader, known, MOVED_REASON):
+        if may_run or not await worker_loop.mark_gone(
+            leader, known, MOVED_REASON
+        ):
             error = entries_.BadEntry(
                 entries_.Fault.CONTRADICTS,
                 f'{entry.service!r} at {entry.address} on {entry.machine!r}',
@@ -278,7 +280,7 @@
     if not known.listed:
         known.listed = True
         event_log.emit('worker', 'listed-again', worker=entry.worker)
-    await leader.due.set()
+    await leader.placement_due.set()
 
 
 def _apply_location(
@@ -291,9 +293,9 @@
     """
     if entry.address != worker.entry.address:
         return
-    leader.roster_dirty |= {worker.entry.service, entry.service}
+    leader.unwritten_worker_lists |= {worker.entry.service, entry.service}
     worker.entry = entry
-    worker.rostered = False
+    worker.is_in_stored_list = False
     worker.provisional = False
 
 
@@ -302,17 +304,19 @@
 ) -> None:
     """Register a worker, unless its service is not configured yet."""
     if not _is_configured(leader.server.configuration, entry.service):
-        entries_.wait(leader.entries, entry)
+        entries_.hold(leader.entries, entry)
         error = entries_.BadEntry(
             entries_.Fault.SERVICE, f'service {entry.service!r}'
         )
-        _refuse_entry(leader, lives.executor(entry.worker), 'not-named', error)
+        _refuse_entry(
+            leader, incarnations.executor_of(entry.worker), 'not-named', error
+        )
         return
-    entries_.forget(leader.entries, lives.executor(entry.worker))
+    entries_.forget(leader.entries, incarnations.executor_of(entry.worker))
     # The entry may belong to an earlier incarnation on a known worker's
     # machine and be written late. Only an answered call proves that a
     # worker is alive; an entry does not.
-    await meeting.meet(leader, entry, listed=True)
+    await registration.register(leader, entry, listed=True)
 
 
 def _is_configured(
@@ -330,7 +334,7 @@
             services = configuration.services
             for entry in list(leader.entries.waiting.values()):
                 # A newer entry may have arrived in the meantime.
-                name = lives.executor(entry.worker)
+                name = incarnations.executor_of(entry.worker)
                 current = leader.entries.waiting.get(name) is entry
                 if current and _is_configured(configuration, entry.service):
                     await _apply_entry(leader, entry)
@@ -342,8 +346,8 @@
 ) -> None:
     """Record which workers are missing in a complete read of the entries."""
     listed = {item.key.removeprefix(executors.PREFIX) for item in items}
-    entries_.keep_only(leader.entries, listed)
-    for name in list(leader.lives):
+    entries_.forget_unlisted(leader.entries, listed)
+    for name in list(leader.incarnations):
         if name not in listed:
             _mark_unlisted(leader, name)
 
@@ -353,7 +357,7 @@
 ) -> None:
     """Stop long-running tasks on a worker that is about to shut down."""
     for task in list(worker.runs.values()):
-        if task.group.step.lasting:
+        if task.group.step.is_long_running:
             await worker_loop.stop_run(leader, task)
 
 
--- a/oleanderwood/leading/late_orders.py
+++ b/oleanderwood/leading/late_orders.py
@@ -17,8 +17,8 @@
 from oleanderwood.leading import state as states
 from oleanderwood.platform import executors
 from oleanderwood.platform import transport
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import late_orders
-from oleanderwood.pools import lives
 from oleanderwood.pools import reports
 from oleanderwood.pools import workers as workers_
 from oleanderwood.web import connections
@@ -49,16 +49,16 @@
     Needed only where incarnations share an id: elsewhere the next incarnation
     refuses the order because of its own id.
     """
-    if not lives.tells_birth(worker.entry.worker):
+    if not incarnations.has_birth_time(worker.entry.worker):
         return
     order = late_orders.LateOrder(
-        lives.executor(worker.entry.worker),
+        incarnations.executor_of(worker.entry.worker),
         worker.entry.address,
         states.fence_of(leader, worker),
     )
     server = leader.server
-    server.unanswered.untold[order.executor] = order
-    await server.unanswered_untold.set()
+    server.late_order_executors.unreported[order.executor] = order
+    await server.late_orders_to_relay.set()
     await start_probing(server, [order])
 
 
@@ -67,7 +67,7 @@
 ) -> None:
     """Start probing some executors."""
     for order in orders:
-        late_orders.take(server.unanswered, order, clock.now_s())
+        late_orders.add(server.late_order_executors, order, clock.now_s())
         event_log.emit(
             'late-order',
             'expected',
@@ -76,10 +76,10 @@
             fence=order.fence,
             for_s=order.for_s,
         )
-    await server.unanswered_news.set()
+    await server.late_orders_changed.set()
 
 
-async def take_told(server: states.Server, body: bytes) -> None:
+async def receive(server: states.Server, body: bytes) -> None:
     """Start probing the executors that another server reports.
 
     :raises msgspec.MsgspecError: the body cannot be decoded
@@ -88,13 +88,15 @@
     await start_probing(server, orders)
 
 
-async def ask_always(server: states.Server) -> None:
+async def probe_always(server: states.Server) -> None:
     """Probe executors at which an order may be carried out late."""
     calls = executors.Executors(PROBE_TIMEOUT_S)
     while True:
-        orders = late_orders.due(server.unanswered, clock.now_s())
+        orders = late_orders.executors_to_call(
+            server.late_order_executors, clock.now_s()
+        )
         if not orders:
-            await server.unanswered_news.wait(IDLE_WAIT_S)
+            await server.late_orders_changed.wait(IDLE_WAIT_S)
             continue
         for order in orders:
             await curio.spawn(_probe, server, calls, order, daemon=True)
@@ -113,19 +115,19 @@
     try:
         await executors.renew(calls, entry, reports.Renewal(order.fence))
     except executors.Replaced:
-        late_orders.drop(server.unanswered, order.executor)
+        late_orders.remove(server.late_order_executors, order.executor)
         event_log.emit('late-order', 'replaced', executor=order.executor)
     except (executors.Fenced, errors.CallFailed):
         # It has seen a higher fence, or is probed again at once.
         return
 
 
-async def tell_always(server: states.Server) -> None:
+async def notify_always(server: states.Server) -> None:
     """Notify other servers of executors to probe, largest servers first."""
     peer_connections = connections.Connections()
     while True:
-        await server.unanswered_untold.wait(IDLE_WAIT_S)
-        orders = late_orders.take_untold(server.unanswered)
+        await server.late_orders_to_relay.wait(IDLE_WAIT_S)
+        orders = late_orders.take_unreported(server.late_order_executors)
         if not orders:
             continue
         body = msgspec.json.encode(orders)
--- a/oleanderwood/leading/lease.py
+++ b/oleanderwood/leading/lease.py
@@ -55,7 +55,7 @@
     until_s: float
 
 
-async def keep_always(server: states.Server) -> None:
+async def hold_always(server: states.Server) -> None:
     """Hold a lease and the server's row until cancelled."""
     granted: GrantedLease | None = None
     while True:
@@ -114,7 +114,7 @@
     An unanswered write may be carried out late, under a lease that has expired
     or that expires unused; the row is removed with that lease.
     """
-    if not server.roles.known:
+    if not server.roles.is_loaded:
         return True
     row = server.roles.servers.get(_row_key(server))
     return row is not None and row.process == server.process
@@ -202,18 +202,18 @@
 
 async def note_contact(server: states.Server, sent_s: float) -> None:
     """Record that the store answered a call sent at a given time."""
-    is_back = sent_s - server.contact_s > CONTACT_GAP_S
-    server.contact_s = max(server.contact_s, sent_s)
+    is_back = sent_s - server.store_contact_s > CONTACT_GAP_S
+    server.store_contact_s = max(server.store_contact_s, sent_s)
     if is_back:
-        server.back_s = clock.now_s()
+        server.store_back_since_s = clock.now_s()
         await server.store_back.set()
         server.store_back.clear()
 
 
-def contact(server: states.Server) -> watcher.Contact:
+def store_contact(server: states.Server) -> watcher.StoreContact:
     """Return the contact that followers of the store share with a server."""
 
     async def note(sent_s: float) -> None:
         await note_contact(server, sent_s)
 
-    return watcher.Contact(note, server.store_back)
+    return watcher.StoreContact(note, server.store_back)
--- a/oleanderwood/leading/losses.py
+++ b/oleanderwood/leading/losses.py
@@ -27,12 +27,12 @@
         that no task is to blame
     """
     now_s = clock.now_s()
-    losses = workers_.note_losses(worker, now_s)
+    losses = workers_.record_losses(worker, now_s)
     # A worker that drains, or is about to be ordered down, may crash before.
-    if planned or (worker.entry.draining and blame.is_settled(losses)):
+    if planned or (worker.entry.draining and blame.are_settled(losses)):
         return losses
     common = _is_correlated(leader, worker, now_s)
-    for task in blame.put_down(leader.ledger, losses, common, now_s):
+    for task in blame.attribute(leader.ledger, losses, common, now_s):
         entry = task.group.entry
         server_metrics.SUSPICIONS.labels(entry.state.value).inc()
         event_log.emit(
@@ -41,7 +41,7 @@
             task=task.name,
             worker=worker.entry.worker,
             crashes=len(isolation.crashes_of(task)),
-            given_up=ledgers.final(entry),
+            given_up=ledgers.is_final(entry),
             why=entry.cause,
         )
     return losses
@@ -57,7 +57,7 @@
     gone_s = now_s if worker.silent_since_s is None else worker.silent_since_s
     recent = {
         name: at_s
-        for name, at_s in leader.lately_gone.items()
+        for name, at_s in leader.recently_gone.items()
         if at_s > now_s - RECENT_S
     }
     others = recent | {
@@ -66,8 +66,8 @@
         if other.silent_since_s is not None
     }
     others.pop(worker.entry.worker, None)
-    leader.lately_gone = recent | {worker.entry.worker: gone_s}
-    return blame.is_common(gone_s, others.values())
+    leader.recently_gone = recent | {worker.entry.worker: gone_s}
+    return blame.has_common_cause(gone_s, others.values())
 
 
 def log_fields(losses: list[workers_.Loss]) -> dict[str, dict[str, list[int]]]:
--- a/oleanderwood/leading/machine_turns.py
+++ b/oleanderwood/leading/machine_handover.py
@@ -75,7 +75,7 @@
     announced = Announcements(
         {name: wall_ms - age_ms for name, age_ms in ages_ms.items()},
         leader.fleet.first_sizes,
-        leader.fleet.turns.pool_cores,
+        leader.fleet.arrival_history.pool_cores,
         ages_ms,
         sorted(maintained),
     )
@@ -93,11 +93,11 @@
     """Return how many orders may be sent now."""
     now_s = clock.now_s()
     per_s = RATE_SHARE * leader.server.settings.machine_orders_per_s
-    earned = (now_s - leader.fleet.orders_at_s) * per_s
+    earned = (now_s - leader.fleet.orders_left_as_of_s) * per_s
     leader.fleet.orders_left = min(
         per_s * BURST_S, leader.fleet.orders_left + earned
     )
-    leader.fleet.orders_at_s = now_s
+    leader.fleet.orders_left_as_of_s = now_s
     return int(leader.fleet.orders_left)
 
 
@@ -114,12 +114,12 @@
     stored = msgspec.json.decode(value, type=Announcements)
     leader.fleet.maintained = set(stored.maintained)
     leader.fleet.first_sizes = dict(stored.first_sizes)
-    leader.fleet.turns.pool_cores = dict(stored.pool_cores)
+    leader.fleet.arrival_history.pool_cores = dict(stored.pool_cores)
     for name in stored.wall_ms:
         at_s = now_s - stored.ages_ms.get(name, 0.0) / 1000
         leader.fleet.announced[name] = at_s
         if at_s + pause_s > now_s:
-            leader.fleet.turn_after_s[name] = at_s + pause_s
+            leader.fleet.order_after_s[name] = at_s + pause_s
 
 
 def restore_or_wait(leader: states.Leader, value: bytes) -> None:
@@ -134,13 +134,13 @@
         pause_s = (
             leader.server.settings.machine_turn_ms + SEND_WINDOW_MS
         ) / 1000
-        leader.fleet.none_before_s = clock.now_s() + pause_s
+        leader.fleet.no_order_before_s = clock.now_s() + pause_s
 
 
 def may_order(leader: states.Leader, machine: str) -> bool:
     """Return whether the pause after another leader's order is over."""
-    after_s = leader.fleet.turn_after_s.get(
-        machine, leader.fleet.none_before_s
+    after_s = leader.fleet.order_after_s.get(
+        machine, leader.fleet.no_order_before_s
     )
     return clock.now_s() >= after_s
 
--- a/oleanderwood/leading/pool_loop.py
+++ b/oleanderwood/leading/pool_loop.py
@@ -15,7 +15,7 @@
 from oleanderwood.jobs import ledger as ledgers
 from oleanderwood.jobs import model
 from oleanderwood.jobs import queues
-from oleanderwood.leading import machine_turns
+from oleanderwood.leading import machine_handover
 from oleanderwood.leading import relocating
 from oleanderwood.leading import schedule
 from oleanderwood.leading import state as states
@@ -24,8 +24,8 @@
 from oleanderwood.maintenance import rolling
 from oleanderwood.platform import machines as machine_calls
 from oleanderwood.policy import model as policies
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import lengths
-from oleanderwood.pools import lives
 from oleanderwood.pools import placing
 from oleanderwood.pools import quotas as quotas_
 from oleanderwood.pools import shares
@@ -70,7 +70,7 @@
     leader.fleet.machines = {machine.machine: machine for machine in machines}
     await _drop_unlisted_workers(leader, sent_s)
     for progress in leader.fleet.waves.values():
-        rolling.note_returns(
+        rolling.remove_returned(
             progress,
             leader.fleet.machines,
             sent_s,
@@ -95,23 +95,26 @@
     for worker in list(leader.workers.values()):
         name = worker.entry.worker
         silent = worker.silent_since_s
-        executor = lives.executor(name)
-        if worker.met_s > sent_s - LIST_LAG_S or executor in live_executors:
+        executor = incarnations.executor_of(name)
+        if (
+            worker.first_contact_s > sent_s - LIST_LAG_S
+            or executor in live_executors
+        ):
             continue
         if silent is not None and silent > sent_s:
             continue
-        if leader.reported_s.get(name, 0.0) > sent_s:
+        if leader.last_report_s.get(name, 0.0) > sent_s:
             # It answered a call sent after the list was requested.
             continue
         missing.add(name)
         listed = worker.entry.machine in machines
-        if listed or name in leader.fleet.missing:
+        if listed or name in leader.fleet.missing_workers:
             machine = machines.get(worker.entry.machine)
             planned = machine is not None and machine.state in ORDERED_STATES
-            await worker_loop.lost(
+            await worker_loop.mark_gone(
                 leader, worker, 'its machine is down', planned
             )
-    leader.fleet.missing = missing
+    leader.fleet.missing_workers = missing
 
 
 async def balance(leader: states.Leader) -> None:
@@ -125,28 +128,28 @@
     ):
         await _set_emptying(leader, [])
         return
-    leader.fleet.turns.pools = frozenset(
+    leader.fleet.arrival_history.pools = frozenset(
         queue.service for queue in configuration.queues
     )
     for pool in configuration.services:
-        demand.update(leader.fleet.turns, pool, now_s)
+        demand.update_burst_state(leader.fleet.arrival_history, pool, now_s)
     views, standby = _views(leader, now_s)
     decision = rebalancing.decide(
         views,
         standby,
-        leader.fleet.turns,
+        leader.fleet.arrival_history,
         settings.move_s,
         now_s,
         leader.policy.policy.weights,
     )
-    moves = decision.moves[: machine_turns.allowance(leader)]
+    moves = decision.moves[: machine_handover.allowance(leader)]
     leader.fleet.needs = decision.needs
     _log_shortage(leader, views, decision.needs, now_s)
-    await _set_emptying(leader, decision.emptied)
+    await _set_emptying(leader, decision.to_drain)
     if not moves:
         return
     names = [move.machine for move in moves]
-    if not await machine_turns.announce(leader, names):
+    if not await machine_handover.announce(leader, names):
         return
     leader.fleet.orders_left -= len(moves)
     await _send_moves(leader, moves)
@@ -154,13 +157,13 @@
 
 
 async def _set_emptying(
-    leader: states.Leader, emptied: list[draining.Emptied]
+    leader: states.Leader, emptied: list[draining.MachineToDrain]
 ) -> None:
     """Close workers whose machines are to be emptied; reopen all others."""
     wanted = {row.machine: row for row in emptied}
     for worker in leader.workers.values():
         row = wanted.get(worker.entry.machine)
-        if (row is not None) != worker.emptying:
+        if (row is not None) != worker.is_reclaimed:
             event_log.emit(
                 'worker',
                 'emptied' if row is not None else 'not-emptied',
@@ -168,7 +171,7 @@
                 runs=len(worker.runs),
                 stops=len(row.stops) if row is not None else 0,
             )
-        worker.emptying = row is not None
+        worker.is_reclaimed = row is not None
         for task in row.stops if row is not None else ():
             await worker_loop.stop_run(leader, task)
 
@@ -180,7 +183,7 @@
     now_s: float,
 ) -> None:
     """Log the pools that have fewer machines than needed, once a second."""
-    if now_s - leader.fleet.shortage_told_s < SHORTAGE_LOG_INTERVAL_S:
+    if now_s - leader.fleet.shortage_logged_s < SHORTAGE_LOG_INTERVAL_S:
         return
     rows = {
         view.service: {
@@ -196,7 +199,7 @@
         for view in views
     }
     if any(row['has'] < row['soon'] for row in rows.values()):
-        leader.fleet.shortage_told_s = now_s
+        leader.fleet.shortage_logged_s = now_s
         event_log.emit('fleet', 'short', pools=rows)
 
 
@@ -225,9 +228,11 @@
         elif machine.state is fleet.State.UP and service in standby:
             standby[service].append(member)
     _note_demand(leader, views, now_s)
-    for service in sorted(leader.fleet.crowded.intersection(views)):
-        views[service].lacks_kind = True
-    leader.fleet.crowded.clear()
+    for service in sorted(
+        leader.fleet.pools_without_capacity.intersection(views)
+    ):
+        views[service].lacks_suitable_machine = True
+    leader.fleet.pools_without_capacity.clear()
     min_up = policies.min_up(leader.policy.policy)
     _note_first_sizes(leader, views)
     for service, view in views.items():
@@ -255,7 +260,7 @@
         cores = [member.cores for member in view.members]
         if cores:
             mean_cores = sum(cores) / len(cores)
-            leader.fleet.turns.pool_cores[service] = (
+            leader.fleet.arrival_history.pool_cores[service] = (
                 view.first_size * mean_cores
             )
 
@@ -268,13 +273,13 @@
     """
     fixed = {
         name
-        for name, until_s in leader.fleet.moves_refused.items()
+        for name, until_s in leader.fleet.move_retry_after_s.items()
         if until_s > now_s
     }
     fixed.update(
         name
-        for name in leader.fleet.turn_after_s
-        if not machine_turns.may_order(leader, name)
+        for name in leader.fleet.order_after_s
+        if not machine_handover.may_order(leader, name)
     )
     for progress in leader.fleet.waves.values():
         if not progress.completed:
@@ -288,7 +293,7 @@
 ) -> rebalancing.Member:
     worker = None
     if machine.state is fleet.State.UP:
-        worker = states.worker_of(leader, machine.worker)
+        worker = states.latest_incarnation(leader, machine.worker)
     cpu = machine.capacity.cpu_millicores
     shrunk = 0
     if worker is not None and worker.listed and not worker.provisional:
@@ -320,9 +325,11 @@
         if service in views:
             for group in groups:
                 _record_lack(views[service], group.step)
-    quotas = schedule.quotas_of(leader, schedule.unresolved(leader), now_s)
+    quotas = schedule.quotas_of(
+        leader, schedule.pools_with_unknown_runs(leader), now_s
+    )
     wall_ms = clock.wall_ms()
-    idle_capacity: dict[ids.ServiceId, list[placing.Room]] = {}
+    idle_capacity: dict[ids.ServiceId, list[placing.FreeCapacity]] = {}
     for group in leader.ledger.open_groups:
         if not group.waiting or not ledgers.is_ready(group, wall_ms):
             continue
@@ -337,21 +344,26 @@
             continue
         if _may_lack_machines(view, group):
             if view.service not in idle_capacity:
-                idle_capacity[view.service] = shortage.idle_rooms(
+                idle_capacity[view.service] = shortage.idle_capacity(
                     row.worker for row in view.members if row.worker
                 )
             free_capacity = idle_capacity[view.service]
             if _lacks_kind(leader, group, view, free_capacity):
                 _record_lack(view, group.step)
-        if placing.hopeless(group.entry, queue, leader.lengths, now_s):
+        if placing.is_too_late(group.entry, queue, leader.lengths, now_s):
             # Its pool gets a machine on which it can run, but no more than
             # that.
             continue
-        if group.step.lasting:
+        if group.step.is_long_running:
             _add_cores(view, group, allowed)
-            if not view.lacks_kind and not group.step.uses_leftover:
+            if (
+                not view.lacks_suitable_machine
+                and not group.step.uses_leftover
+            ):
                 workers = [row.worker for row in view.members if row.worker]
-                view.lacks_kind = not placing.has_room(group, workers, now_s)
+                view.lacks_suitable_machine = not placing.has_free_capacity(
+                    group, workers, now_s
+                )
         elif not group.step.uses_leftover:
             row = _waiting_work(group, allowed, queue, leader.lengths, now_s)
             view.waiting.append(row)
@@ -364,23 +376,23 @@
     """Return whether a step has to be compared with its pool's machines."""
     if group.step.label:
         return group.step.label not in view.lacks_labels
-    if view.lacks_kind:
+    if view.lacks_suitable_machine:
         return False
-    return not view.members or shortage.is_particular(group)
+    return not view.members or shortage.has_placement_constraint(group)
 
 
 def _record_lack(view: rebalancing.PoolView, step: model.Step) -> None:
     if step.label:
         view.lacks_labels.add(step.label)
     else:
-        view.lacks_kind = True
+        view.lacks_suitable_machine = True
 
 
 def _lacks_kind(
     leader: states.Leader,
     group: ledgers.Group,
     view: rebalancing.PoolView,
-    free_capacity: list[placing.Room],
+    free_capacity: list[placing.FreeCapacity],
 ) -> bool:
     """Return whether a step needs other machines than those of its pool.
 
@@ -408,7 +420,7 @@
     group: ledgers.Group,
     known: dict[str, queues.Queue],
 ) -> None:
-    if not group.step.lasting:
+    if not group.step.is_long_running:
         queue = placing.queue_of(group.entry, known)
         view.priority = min(view.priority, queue.priority)
 
@@ -419,15 +431,15 @@
     queue: queues.Queue,
     known: lengths.Lengths,
     now_s: float,
-) -> backlog.Waiting:
+) -> backlog.WaitingTasks:
     """Return the work that waits in a step, and the time left for it.
 
     :param tasks: number of waiting tasks that may run
     """
     length_s = lengths.of_job(known, group.entry)[group.number]
     cores = tasks * group.step.needs.cpu_millicores / 1000
-    left_s = placing.left_s(group, queue, known, now_s)
-    return backlog.Waiting(cores, length_s, left_s)
+    left_s = placing.time_left_s(group, queue, known, now_s)
+    return backlog.WaitingTasks(cores, length_s, left_s)
 
 
 def _add_cores(
@@ -437,8 +449,8 @@
         return
     cores = tasks * group.step.needs.cpu_millicores / 1000
     view.busy_cores += cores
-    if group.step.lasting:
-        view.held_cores += cores
+    if group.step.is_long_running:
+        view.long_running_cores += cores
 
 
 async def _send_moves(
@@ -449,7 +461,7 @@
     Those that would be sent too late are dropped and decided again.
     """
     left = collections.deque(moves)
-    late_s = clock.now_s() + machine_turns.SEND_WINDOW_MS / 1000
+    late_s = clock.now_s() + machine_handover.SEND_WINDOW_MS / 1000
 
     async def send() -> None:
         while left and clock.now_s() < late_s:
@@ -466,7 +478,7 @@
     if not states.holds_lease(leader):
         return
     machine = leader.fleet.machines[move.machine]
-    worker = states.worker_of(leader, machine.worker)
+    worker = states.latest_incarnation(leader, machine.worker)
     if worker is not None:
         if worker.runs:
             return
@@ -495,7 +507,7 @@
         pause_s = rolling.CYCLE_SLACK_S
         if outcome is machine_calls.Outcome.INVALID:
             pause_s = INVALID_PAUSE_S
-        leader.fleet.moves_refused[move.machine] = clock.now_s() + pause_s
+        leader.fleet.move_retry_after_s[move.machine] = clock.now_s() + pause_s
         if worker is not None:
             worker.closed = False
 
@@ -509,14 +521,14 @@
     core_ms = sum(
         step.tasks * step.needs.cpu_millicores * step.guess_ms
         for step in work.steps
-        if not step.lasting
+        if not step.is_long_running
     )
     if core_ms:
         known = states.known_queues(leader)
         queue = placing.queue_of(entry, known)
-        factor = lengths.factor(leader.lengths, queue.name)
-        demand.note(
-            leader.fleet.turns,
+        factor = lengths.correction_factor(leader.lengths, queue.name)
+        demand.record_arrival(
+            leader.fleet.arrival_history,
             queue.service,
             at_s,
             core_ms * factor / 1e6,
@@ -531,4 +543,4 @@
     if tenant is None:
         return
     arrivals_s = leader.arrivals_s.setdefault(tenant.name, collections.deque())
-    entry.beyond = shares.is_beyond(arrivals_s, tenant.weight, at_s)
+    entry.over_rate = shares.is_beyond(arrivals_s, tenant.weight, at_s)
--- a/oleanderwood/leading/former.py
+++ b/oleanderwood/leading/previous_leaders.py
@@ -12,7 +12,7 @@
 from oleanderwood import clock
 from oleanderwood import errors
 from oleanderwood import event_log
-from oleanderwood.leading import confirming
+from oleanderwood.leading import confirmation
 from oleanderwood.leading import fenced_writes
 from oleanderwood.leading import roles as roles_
 from oleanderwood.leading import state as states
@@ -27,18 +27,18 @@
 """Time, in seconds, within which an order in flight at the end of a term
 reaches its worker."""
 
-SHORT_WAIT_S = confirming.CONFIRMATION_S + ORDER_DELAY_S
+SHORT_WAIT_S = confirmation.CONFIRMATION_S + ORDER_DELAY_S
 """How long after an election orders of earlier leaders may arrive, in seconds,
 if all those leaders have ended."""
 
-LONG_WAIT_S = confirming.MAX_UNREACHED_S + ORDER_DELAY_S
+LONG_WAIT_S = confirmation.MAX_UNREACHED_S + ORDER_DELAY_S
 """The same, in seconds, if one of those leaders may be cut off and confirmed
 by other servers."""
 
 FOREVER_S = 1e9
 
 
-def longest_lease_s(leader: states.Leader) -> float:
+def max_lease_s(leader: states.Leader) -> float:
     """Return the maximum duration of a lease on the slowest worker clock."""
     lease_s = states.task_lease_s(leader.server.settings)
     return lease_s / workers_.SLOW_CLOCK_RATE
@@ -47,12 +47,12 @@
 def leases_end_s(leader: states.Leader, now_s: float) -> float:
     """Return when all leases granted by earlier leaders have expired."""
     acts_s = LONG_WAIT_S if _unended_terms(leader) else SHORT_WAIT_S
-    return now_s + acts_s + longest_lease_s(leader)
+    return now_s + acts_s + max_lease_s(leader)
 
 
 def _unended_terms(leader: states.Leader) -> list[int]:
     """Return the earlier terms that are not known to have ended."""
-    return roles_.unsettled_terms(leader.server.roles, leader.term)
+    return roles_.unended_terms(leader.server.roles, leader.term)
 
 
 async def await_ends_always(leader: states.Leader) -> None:
@@ -92,11 +92,11 @@
             leader.peer_connections,
             row.address,
             'GET',
-            f'{confirming.PATH}/{leader.term}',
-            timeout_s=confirming.ASK_TIMEOUT_S,
+            f'{confirmation.CONTACT_PATH}/{leader.term}',
+            timeout_s=confirmation.ASK_TIMEOUT_S,
         )
         contact = msgspec.json.decode(
-            answer.body, type=confirming.ContactAnswer
+            answer.body, type=confirmation.ContactAnswer
         )
     except (errors.CallFailed, msgspec.MsgspecError):
         return None
@@ -111,12 +111,12 @@
 
     :param end_s: time by which all of them had ended
     """
-    leases_s = end_s + ORDER_DELAY_S + longest_lease_s(leader)
+    leases_s = end_s + ORDER_DELAY_S + max_lease_s(leader)
     for worker in leader.workers.values():
         if not worker.fenced:
             worker.lease_end_s = min(worker.lease_end_s, leases_s)
-    leader.rosters_unread_until_s = min(
-        leader.rosters_unread_until_s, leases_s
+    leader.worker_lists_unread_until_s = min(
+        leader.worker_lists_unread_until_s, leases_s
     )
 
 
--- a/oleanderwood/leading/keeping.py
+++ b/oleanderwood/leading/progress_writer.py
@@ -22,7 +22,7 @@
 from oleanderwood.pools import workers as workers_
 from oleanderwood import server_metrics
 
-ROSTER_PREFIX = 'ow/workers/'
+WORKER_LIST_PREFIX = 'ow/workers/'
 """Prefix of the stored lists, one per pool, of workers that an earlier leader
 may have given tasks."""
 
@@ -54,7 +54,7 @@
     """
     failed = False
     while True:
-        await leader.unrostered.wait(1.0)
+        await leader.worker_lists_changed.wait(1.0)
         await curio.sleep(BATCH_DELAY_S)
         try:
             await _write_worker_lists(leader)
@@ -66,7 +66,7 @@
                 event_log.emit('store', 'not-rostered', why=error.reason)
             failed = True
             await curio.sleep(RETRY_PAUSE_S)
-            await leader.unrostered.set()
+            await leader.worker_lists_changed.set()
             continue
         if failed:
             event_log.emit('store', 'rostered-again')
@@ -81,11 +81,11 @@
     writes reported ends to callers 0.52 s late in the median.
     """
     while not leader.deposed:
-        await leader.unkept.wait(1.0)
+        await leader.progress_changed.wait(1.0)
         await curio.sleep(BATCH_DELAY_S)
         _note_reported_ends(leader)
         while leader.writes_in_flight < MAX_CONCURRENT_WRITES:
-            entries = persistence.take_up(
+            entries = persistence.take_dirty(
                 leader.ledger, fenced_writes.MAX_KEYS_PER_WRITE
             )
             if not entries:
@@ -98,7 +98,7 @@
 async def flush_progress(leader: states.Leader) -> None:
     """Wait until everything unwritten now is written, or the term ends."""
     changes = leader.ledger.changes
-    await leader.unkept.set()
+    await leader.progress_changed.set()
     while not leader.deposed:
         if persistence.written_up_to(leader.ledger) >= changes:
             return
@@ -129,7 +129,7 @@
         leader.writes_in_flight -= 1
     await _acknowledge(leader)
     if leader.ledger.dirty:
-        await leader.unkept.set()
+        await leader.progress_changed.set()
 
 
 def _note_reported_ends(leader: states.Leader) -> None:
@@ -137,7 +137,7 @@
     seen = {
         name: worker.seen_end
         for name, worker in leader.workers.items()
-        if worker.seen_end > worker.kept_end
+        if worker.seen_end > worker.stored_end
     }
     if seen:
         leader.seen_ends.append(states.SeenEnds(leader.ledger.changes, seen))
@@ -149,9 +149,9 @@
     while leader.seen_ends and leader.seen_ends[0].changes <= written:
         for name, number in leader.seen_ends.popleft().ends.items():
             worker = leader.workers.get(name)
-            if worker is not None and number > worker.kept_end:
-                worker.kept_end = number
-                await leader.ends_kept[name].set()
+            if worker is not None and number > worker.stored_end:
+                worker.stored_end = number
+                await leader.ends_stored[name].set()
 
 
 async def _write_jobs(
@@ -162,7 +162,7 @@
     :raises stores.Conflict: another server leads
     :raises errors.CallFailed: the progress may or may not be written
     """
-    crashes = {entry.job.job: entry.crashes_noted for entry in entries}
+    crashes = {entry.job.job: entry.crash_revision for entry in entries}
     written = {entry.job.job: record.progress_of(entry) for entry in entries}
     writes = {
         record.progress_key(job): msgspec.json.encode(progress)
@@ -175,14 +175,14 @@
         raise
     persistence.note_written(leader.ledger, entries)
     for entry in entries:
-        blocked = not isolation.is_kept(entry)
-        if blocked or entry.more_pools != entry.more_pools_kept:
-            await leader.due.set()
-        entry.crashes_kept = crashes[entry.job.job]
-        entry.more_pools_kept.update(written[entry.job.job].more_pools)
+        blocked = not isolation.are_crashes_stored(entry)
+        if blocked or entry.more_pools != entry.more_pools_stored:
+            await leader.placement_due.set()
+        entry.stored_crash_revision = crashes[entry.job.job]
+        entry.more_pools_stored.update(written[entry.job.job].more_pools)
         state = written[entry.job.job].state
-        if state is not entry.kept_state:
-            entry.kept_state = state
+        if state is not entry.stored_state:
+            entry.stored_state = state
             # The state that was written; the job may have changed since.
             if state in model.FINAL:
                 _log_end(entry)
@@ -209,12 +209,14 @@
     that was lost and registered again must be written again first: its row may
     have been removed, or contain its earlier location.
     """
-    while leader.roster_dirty:
+    while leader.unwritten_worker_lists:
         await _write_some_worker_lists(leader)
 
 
 async def _write_some_worker_lists(leader: states.Leader) -> None:
-    services = sorted(leader.roster_dirty)[: fenced_writes.MAX_KEYS_PER_WRITE]
+    services = sorted(leader.unwritten_worker_lists)[
+        : fenced_writes.MAX_KEYS_PER_WRITE
+    ]
     writes = {}
     members: list[workers_.Worker] = []
     for service in services:
@@ -224,32 +226,32 @@
             if worker.entry.service == service and not worker.gone
         ]
         members += rows
-        writes[roster_key(service)] = msgspec.json.encode(
+        writes[worker_list_key(service)] = msgspec.json.encode(
             [row.entry for row in rows]
         )
     # Workers registered or lost during the write need another write.
-    leader.roster_dirty.difference_update(services)
+    leader.unwritten_worker_lists.difference_update(services)
     try:
         await fenced_writes.write(leader, writes)
     except BaseException:
-        leader.roster_dirty.update(services)
+        leader.unwritten_worker_lists.update(services)
         raise
     for worker in members:
-        worker.rostered = True
-    await leader.due.set()
+        worker.is_in_stored_list = True
+    await leader.placement_due.set()
 
 
-def roster_key(service: ids.ServiceId) -> str:
+def worker_list_key(service: ids.ServiceId) -> str:
     """Return the key of a pool's worker list, for pool names of any length.
 
     A key that the store refuses would block the writes of worker lists.
     """
-    key = ROSTER_PREFIX + service
+    key = WORKER_LIST_PREFIX + service
     short = len(key.encode()) <= stores.MAX_KEY_BYTES
     if short and not service.startswith(DIGEST_PREFIX):
         return key
     digest = hashlib.sha256(service.encode()).hexdigest()
-    return ROSTER_PREFIX + DIGEST_PREFIX + digest
+    return WORKER_LIST_PREFIX + DIGEST_PREFIX + digest
 
 
 def decode_worker_list(value: bytes) -> list[reports.Entry]:
@@ -266,8 +268,8 @@
         old = [
             entry.job.job
             for entry in leader.ledger.entries.values()
-            if ledgers.final(entry)
-            and entry.kept_state is entry.state
+            if ledgers.is_final(entry)
+            and entry.stored_state is entry.state
             and entry.ended_s < before_s
         ]
         for start in range(0, len(old), 10):
--- a/oleanderwood/leading/meeting.py
+++ b/oleanderwood/leading/registration.py
@@ -5,12 +5,12 @@
 from oleanderwood import clock
 from oleanderwood import event_log
 from oleanderwood.leading import state as states
-from oleanderwood.pools import lives
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import reports
 from oleanderwood.pools import workers as workers_
 
 
-async def meet(
+async def register(
     leader: states.Leader,
     entry: reports.Entry,
     listed: bool,
@@ -25,7 +25,7 @@
         entry,
         listed=listed,
         idle_since_s=now_s,
-        met_s=now_s,
+        first_contact_s=now_s,
         provisional=provisional,
     )
     name = entry.worker
@@ -33,11 +33,11 @@
     # This incarnation then refuses orders that an earlier one left
     # unanswered.
     states.raise_fence(leader, worker)
-    known = leader.lives.setdefault(lives.executor(name), {})
+    known = leader.incarnations.setdefault(incarnations.executor_of(name), {})
     known[name] = None
-    leader.ends_kept[name] = states.Signal()
+    leader.ends_stored[name] = states.Signal()
     leader.orders[name] = curio.Queue()
-    leader.roster_dirty.add(entry.service)
+    leader.unwritten_worker_lists.add(entry.service)
     event_log.emit(
         'worker',
         'met',
@@ -52,5 +52,5 @@
         fence_number=states.fence_number(leader, worker),
     )
     await leader.new_workers.put(worker)
-    await leader.unrostered.set()
+    await leader.worker_lists_changed.set()
     return worker
--- a/oleanderwood/leading/relocating.py
+++ b/oleanderwood/leading/relocating.py
@@ -4,9 +4,9 @@
 from oleanderwood import ids
 from oleanderwood.jobs import ledger as ledgers
 from oleanderwood.leading import state as states
-from oleanderwood.pools import held_back
 from oleanderwood.pools import lengths
 from oleanderwood.pools import placing
+from oleanderwood.pools import starvation
 from oleanderwood.pools import workers as workers_
 
 STARVED_FOR_S = 2.5
@@ -33,7 +33,7 @@
         entry = task.group.entry
         return lengths.of_job(leader.lengths, entry)[task.group.number]
 
-    rows = held_back.measure(worker, length_of, now_s)
+    rows = starvation.measure(worker, length_of, now_s)
     if not rows:
         return []
     leaving = _choose(leader, worker, rows, now_s)
@@ -43,21 +43,21 @@
         if row.task.name in left:
             _log(worker, row, 'relocated')
             continue
-        if group not in leader.held_back:
+        if group not in leader.starved_until_s:
             _log(worker, row, 'held-back')
-        leader.held_back[group] = now_s + STARVED_FOR_S
+        leader.starved_until_s[group] = now_s + STARVED_FOR_S
     return leaving
 
 
 def _choose(
     leader: states.Leader,
     worker: workers_.Worker,
-    rows: list[held_back.HeldBack],
+    rows: list[starvation.StarvedRun],
     now_s: float,
 ) -> list[ledgers.Task]:
     """Choose the tasks that leave now, and record their relocation."""
     pool = worker.entry.service
-    if now_s < leader.relocated_s.get(pool, 0.0) + SETTLE_S:
+    if now_s < leader.last_relocation_s.get(pool, 0.0) + SETTLE_S:
         return []
     # Steps that wait for advice stay: otherwise 10 runs of one task were each
     # stopped for a worker that was not suitable, as advice was being asked
@@ -66,18 +66,20 @@
     advised = [
         row
         for row in rows
-        if not placing.is_unadvised(row.task.group, known, now_s)
+        if not placing.awaits_advice(row.task.group, known, now_s)
     ]
-    leaving = held_back.to_leave(
+    leaving = starvation.runs_to_relocate(
         advised, _other_workers(leader, worker), now_s
     )
     for task in leaving:
         task.relocated += 1
-        leader.relocated_s[pool] = now_s
+        leader.last_relocation_s[pool] = now_s
     return leaving
 
 
-def _log(worker: workers_.Worker, row: held_back.HeldBack, event: str) -> None:
+def _log(
+    worker: workers_.Worker, row: starvation.StarvedRun, event: str
+) -> None:
     run = row.task.run
     event_log.emit(
         'run',
@@ -98,17 +100,17 @@
         row
         for row in leader.workers.values()
         if row.entry.service == worker.entry.service
-        and row.rostered
+        and row.is_in_stored_list
         and row is not worker
     ]
 
 
 def starved_groups(leader: states.Leader, now_s: float) -> list[ledgers.Group]:
     """Return the steps with starved runs; drop those that no longer count."""
-    for group, until_s in list(leader.held_back.items()):
-        if until_s < now_s or not group.left or ledgers.final(group.entry):
-            del leader.held_back[group]
-    return list(leader.held_back)
+    for group, until_s in list(leader.starved_until_s.items()):
+        if until_s < now_s or not group.left or ledgers.is_final(group.entry):
+            del leader.starved_until_s[group]
+    return list(leader.starved_until_s)
 
 
 def starved_by_pool(
--- a/oleanderwood/leading/restarts.py
+++ b/oleanderwood/leading/restarts.py
@@ -5,7 +5,7 @@
 from oleanderwood.leading import losses as losses_
 from oleanderwood.leading import state as states
 from oleanderwood.pools import fences
-from oleanderwood.pools import lives
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import reports
 from oleanderwood.pools import workers as workers_
 
@@ -17,7 +17,7 @@
     other one was alive after that. If answers cross, the order stays open
     until the next call.
     """
-    return worker.met_s <= sent_s and worker.clock_at_s <= sent_s
+    return worker.first_contact_s <= sent_s and worker.clock_at_s <= sent_s
 
 
 def supersede_earlier(
@@ -33,7 +33,9 @@
 
     :return: runs that the worker has to refuse
     """
-    others = states.lives_of(leader, lives.executor(worker.entry.worker))
+    others = states.incarnations_of(
+        leader, incarnations.executor_of(worker.entry.worker)
+    )
     if len(others) < 2 or not states.holds_lease(leader):
         return []
     refused = []
@@ -53,7 +55,7 @@
     previous.gone = True
     runs = len(previous.runs)
     losses = losses_.record(leader, previous)
-    refused = workers_.succeed(
+    refused = workers_.transfer_runs(
         leader.ledger, previous, worker, report, clock.now_s()
     )
     event_log.emit(
@@ -67,30 +69,30 @@
         **losses_.log_fields(losses),
     )
     forget(leader, previous)
-    leader.ended_lives.append(previous)
+    leader.ended_incarnations.append(previous)
     return refused
 
 
 def forget(leader: states.Leader, worker: workers_.Worker) -> None:
     """Drop the state of an incarnation that is over."""
     name = worker.entry.worker
-    executor = lives.executor(name)
+    executor = incarnations.executor_of(name)
     leader.workers.pop(name, None)
     leader.paces.pop(name, None)
-    leader.reported_s.pop(name, None)
-    known = leader.lives.get(executor, {})
+    leader.last_report_s.pop(name, None)
+    known = leader.incarnations.get(executor, {})
     known.pop(name, None)
     if not known:
-        leader.lives.pop(executor, None)
+        leader.incarnations.pop(executor, None)
         fences.forget(leader.fences, executor, clock.now_s())
-    leader.roster_dirty.add(worker.entry.service)
+    leader.unwritten_worker_lists.add(worker.entry.service)
 
 
 async def notify_ended(leader: states.Leader) -> None:
     """Wake the loops that wait for incarnations found to be over."""
-    while leader.ended_lives:
-        previous = leader.ended_lives.pop()
+    while leader.ended_incarnations:
+        previous = leader.ended_incarnations.pop()
         await leader.orders[previous.entry.worker].put(None)
-        await leader.unrostered.set()
-        await leader.unkept.set()
-        await leader.due.set(previous.entry.service)
+        await leader.worker_lists_changed.set()
+        await leader.progress_changed.set()
+        await leader.placement_due.set(previous.entry.service)
--- a/oleanderwood/leading/roles.py
+++ b/oleanderwood/leading/roles.py
@@ -75,7 +75,7 @@
     :ivar alive_revision: revision of the liveness key; 0 if there is none
     :ivar alive_lease: the lease that the liveness key is attached to
     :ivar removed_servers: recently removed servers, by key
-    :ivar known: whether the roles have been read from the store
+    :ivar is_loaded: whether the roles have been read from the store
     """
 
     leader: Leader | None = None
@@ -89,10 +89,10 @@
     removed_servers: dict[str, RemovedServer] = dataclasses.field(
         default_factory=dict
     )
-    known: bool = False
+    is_loaded: bool = False
 
 
-def take(
+def apply_value(
     roles: Roles, key: str, value: bytes, revision: int, lease: int = 0
 ) -> None:
     """Apply a value read from the store, unless a newer one is known."""
@@ -119,7 +119,7 @@
     roles.leaders[leader.term] = leader
 
 
-def unsettled_terms(roles: Roles, term: int) -> list[int]:
+def unended_terms(roles: Roles, term: int) -> list[int]:
     """Return the earlier terms that are not known to have ended.
 
     The latest comes first. The list ends at a term whose leader is unknown,
@@ -150,11 +150,13 @@
             del roles.leaders[earlier]
 
 
-def learn(roles: Roles, items: collections.abc.Iterable[stores.Item]) -> None:
+def apply_items(
+    roles: Roles, items: collections.abc.Iterable[stores.Item]
+) -> None:
     """Apply the items that a refused write returned."""
     for item in items:
         if not item.removed:
-            take(roles, item.key, item.value, item.revision, item.lease)
+            apply_value(roles, item.key, item.value, item.revision, item.lease)
 
 
 def note_alive(roles: Roles, process: str, revision: int, lease: int) -> None:
@@ -164,7 +166,7 @@
     roles.alive_lease = lease
 
 
-def drop(roles: Roles, key: str, revision: int, now_s: float) -> None:
+def apply_removal(roles: Roles, key: str, revision: int, now_s: float) -> None:
     """Apply the removal of a key at a revision of the store."""
     if key == ALIVE_KEY and revision > roles.alive_revision:
         note_alive(roles, '', 0, 0)
@@ -182,7 +184,7 @@
     roles.removed_servers[key] = RemovedServer(server, now_s)
 
 
-def clear(roles: Roles, now_s: float) -> None:
+def reset(roles: Roles, now_s: float) -> None:
     """Forget what a complete read of the store is about to replace."""
     note_alive(roles, '', 0, 0)
     for key in list(roles.servers):
--- a/oleanderwood/leading/schedule.py
+++ b/oleanderwood/leading/schedule.py
@@ -46,10 +46,10 @@
     """Run scheduling passes until cancelled."""
     all_placed_s = -math.inf
     while True:
-        await leader.due.wait(MAX_PASS_INTERVAL_S)
+        await leader.placement_due.wait(MAX_PASS_INTERVAL_S)
         began_s = clock.now_s()
         await check_leases(leader)
-        pools = leader.due.take()
+        pools = leader.placement_due.take()
         if began_s - all_placed_s >= MAX_PASS_INTERVAL_S:
             pools = None
         if pools is None:
@@ -77,9 +77,9 @@
             continue
         if worker.runs:
             losses = losses_.record(leader, worker)
-            tasks = workers_.lost(leader.ledger, worker, now_s)
+            tasks = workers_.end_all_runs(leader.ledger, worker, now_s)
             for task in tasks:
-                task.given_up = True
+                task.presumed_over = True
             event_log.emit(
                 'worker',
                 'lease-over',
@@ -87,13 +87,13 @@
                 tasks=[task.name for task in tasks],
                 **losses_.log_fields(losses),
             )
-            await leader.unkept.set()
+            await leader.progress_changed.set()
             await worker_loop.stop_ended_jobs(leader)
         if not worker.listed:
-            await worker_loop.lost(leader, worker, 'silent and unlisted')
+            await worker_loop.mark_gone(leader, worker, 'silent and unlisted')
 
 
-def unresolved(leader: states.Leader) -> set[ids.ServiceId]:
+def pools_with_unknown_runs(leader: states.Leader) -> set[ids.ServiceId]:
     """Return the pools with a worker that may have runs unknown to the leader.
 
     Such a worker was used under an earlier term, has not yet reported all its
@@ -104,11 +104,13 @@
     return {
         worker.entry.service
         for worker in leader.workers.values()
-        if not worker.heard and _may_hold(leader, worker)
+        if not worker.has_reported and _may_have_unknown_runs(leader, worker)
     }
 
 
-def _may_hold(leader: states.Leader, worker: workers_.Worker) -> bool:
+def _may_have_unknown_runs(
+    leader: states.Leader, worker: workers_.Worker
+) -> bool:
     """Return whether a worker may have a run or an end that is not known.
 
     A worker that answers keeps its ends until they are acknowledged. Unless
@@ -136,10 +138,12 @@
     """
     if not entry.inherited:
         return False
-    until_s = leader.rosters_unread_until_s
+    until_s = leader.worker_lists_unread_until_s
     if now_s <= until_s or (until_s > 0 and not states.holds_lease(leader)):
         return True
-    return bool(blocked) and not blocked.isdisjoint(ledgers.kept_pools(entry))
+    return bool(blocked) and not blocked.isdisjoint(
+        ledgers.stored_pools(entry)
+    )
 
 
 async def place(
@@ -151,9 +155,9 @@
     """
     now_s = clock.now_s()
     known = states.known_queues(leader)
-    blocked = unresolved(leader)
+    blocked = pools_with_unknown_runs(leader)
     quotas = quotas_of(leader, blocked, now_s)
-    ready = placing.by_service(
+    ready = placing.ready_by_pool(
         leader.ledger,
         known,
         leader.lengths,
@@ -164,7 +168,7 @@
     )
     pools: dict[ids.ServiceId, list[workers_.Worker]] = {}
     for worker in leader.workers.values():
-        if worker.rostered and worker.entry.service in ready:
+        if worker.is_in_stored_list and worker.entry.service in ready:
             pools.setdefault(worker.entry.service, []).append(worker)
     if _entries_are_stale(leader, now_s):
         ready = _guarded_only(leader, ready)
@@ -174,7 +178,7 @@
             for row in groups
             if not _may_run_unseen(leader, row.entry, blocked, now_s)
         ]
-        for task in placing.parted(groups, now_s):
+        for task in placing.incomplete_gang_members(groups, now_s):
             await worker_loop.stop_run(leader, task)
         pool = pools.get(service, [])
         groups = await _startable(leader, groups, service, pool, quotas)
@@ -187,15 +191,15 @@
 
 def _share_order(
     leader: states.Leader, quotas: quotas_.Quotas
-) -> placing.InTurn:
+) -> placing.TenantOrder:
     """Return the ordering of equally urgent groups, by tenants' shares."""
-    weights = states.weights(leader)
+    weights = states.tenant_weights(leader)
     if not weights:
         return list
     whole = model.total(
         worker.entry.capacity for worker in leader.workers.values()
     )
-    return lambda groups: shares.in_turn(groups, quotas, weights, whole)
+    return lambda groups: shares.order_by_share(groups, quotas, weights, whole)
 
 
 def _log_limits(
@@ -214,13 +218,13 @@
             if group.waiting and not quotas_.allows(quotas, group):
                 waiting.setdefault(job.tenant, {})[job.job] = None
     for tenant, jobs in waiting.items():
-        logged_s = leader.limits_told_s.get(tenant, -math.inf)
+        logged_s = leader.limits_logged_s.get(tenant, -math.inf)
         if (
             now_s - logged_s < LIMIT_LOG_INTERVAL_S
             or tenant not in quotas.limits
         ):
             continue
-        leader.limits_told_s[tenant] = now_s
+        leader.limits_logged_s[tenant] = now_s
         event_log.emit(
             'tenant',
             'at-limit',
@@ -232,7 +236,7 @@
         )
 
 
-def _as_resources(used: quotas_.Used) -> model.Resources:
+def _as_resources(used: quotas_.Usage) -> model.Resources:
     return model.Resources(used.cpu_millicores, used.memory_mb, used.gpus)
 
 
@@ -245,7 +249,7 @@
     """
     limits = leader.server.limits
     unseen = quotas_.Unseen()
-    if limits and (blocked or leader.rosters_unread_until_s > 0):
+    if limits and (blocked or leader.worker_lists_unread_until_s > 0):
         unseen = quotas_.Unseen(
             [
                 group
@@ -270,12 +274,12 @@
 
     None if some of these workers may be unknown themselves.
     """
-    if now_s <= leader.rosters_unread_until_s:
+    if now_s <= leader.worker_lists_unread_until_s:
         return None
     return model.total(
         worker.entry.capacity
         for worker in leader.workers.values()
-        if not worker.heard and _may_hold(leader, worker)
+        if not worker.has_reported and _may_have_unknown_runs(leader, worker)
     )
 
 
@@ -287,8 +291,8 @@
     No entry was written while the store was unavailable.
     """
     settings = leader.server.settings
-    age_s = now_s - leader.entries_heard_s
-    back_s = now_s - leader.server.back_s
+    age_s = now_s - leader.entries_confirmed_s
+    back_s = now_s - leader.server.store_back_since_s
     return (
         age_s > settings.contact_ms / 1000 - ORDER_DELIVERY_S
         or back_s < settings.heartbeat_ms / 1000 + ORDER_DELIVERY_S
@@ -330,7 +334,7 @@
     for entry in dict.fromkeys(row.task.group.entry for row in trial):
         if not ledgers.may_start_in(entry, service):
             ledgers.open_pool(leader.ledger, entry, service)
-            await leader.unkept.set()
+            await leader.progress_changed.set()
     return startable
 
 
@@ -353,7 +357,7 @@
             attempt = gangs[task.group]
         worker = placement.worker
         name = worker.entry.worker
-        run = ledgers.begin(leader.ledger, task, name, now_s, attempt)
+        run = ledgers.begin_run(leader.ledger, task, name, now_s, attempt)
         worker.runs[task.name] = task
         orders.append((name, states.StartOrder(task, run)))
     for name, order in orders:
--- a/oleanderwood/leading/slow_workers.py
+++ b/oleanderwood/leading/slow_workers.py
@@ -11,7 +11,7 @@
 
 
 def _factor_of(leader: states.Leader, entry: ledgers.Entry) -> float:
-    return lengths.factor(leader.lengths, entry.job.queue.name)
+    return lengths.correction_factor(leader.lengths, entry.job.queue.name)
 
 
 def note_lengths(
@@ -21,11 +21,11 @@
     now_s: float,
 ) -> None:
     """Update length estimates and the worker's speed by completed tasks."""
-    pace = leader.paces.setdefault(worker.entry.worker, slowness.Pace())
+    pace = leader.paces.setdefault(worker.entry.worker, slowness.Speed())
     for task, length_s in rows:
         factor = _factor_of(leader, task.group.entry)
-        slowness.note_end(pace, task, length_s, factor, now_s)
-        lengths.note(leader.lengths, task.group, length_s)
+        slowness.record_end(pace, task, length_s, factor, now_s)
+        lengths.record(leader.lengths, task.group, length_s)
 
 
 def tasks_to_move(
@@ -38,7 +38,7 @@
     _judge(leader, worker, pace)
     if not worker.slow:
         return []
-    tasks = slowness.to_begin_anew(worker, factor_of, now_s)
+    tasks = slowness.runs_to_restart(worker, factor_of, now_s)
     for task in tasks:
         event_log.emit(
             'run',
@@ -52,7 +52,7 @@
 
 
 def _judge(
-    leader: states.Leader, worker: workers_.Worker, pace: slowness.Pace
+    leader: states.Leader, worker: workers_.Worker, pace: slowness.Speed
 ) -> None:
     """Compare a worker's speed with the other workers of its pool."""
     if pace.ratio is not None:
--- a/oleanderwood/leading/state.py
+++ b/oleanderwood/leading/state.py
@@ -25,9 +25,9 @@
 from oleanderwood.policy import model as policies
 from oleanderwood.pools import entries as entries_
 from oleanderwood.pools import fences as fences_
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import late_orders
 from oleanderwood.pools import lengths as lengths_
-from oleanderwood.pools import lives
 from oleanderwood.pools import slowness
 from oleanderwood.pools import workers as workers_
 from oleanderwood.tenants import access
@@ -127,21 +127,23 @@
     """State of one server process.
 
     :ivar process: id of this incarnation of the server
-    :ivar configuration_proven_s: send time of the last read of the
+    :ivar configuration_confirmed_s: send time of the last read of the
         configuration that is known to include all its changes
     :ivar configuration_readable: whether the newest configuration could be
         decoded
     :ivar limits: limits by tenant, including tenants that were removed
     :ivar lease_until_s: time by which the server's lease may have expired
-    :ivar contact_s: send time of the latest call that the store answered
-    :ivar back_s: time at which the store answered again after an outage
+    :ivar store_contact_s: send time of the latest call that the store answered
+    :ivar store_back_since_s: time at which the store answered again after an
+        outage
     :ivar store_back: set at that time, for tasks that wait for the store
     :ivar began_s: start time of the process
     :ivar last_led_term: the last term that this process led or is leading
-    :ivar unanswered: executors to be called because an order to them may still
-        arrive late
-    :ivar unanswered_news: wakes the task that calls these executors
-    :ivar unanswered_untold: wakes the task that reports them to other servers
+    :ivar late_order_executors: executors to be called because an order to them
+        may still arrive late
+    :ivar late_orders_changed: wakes the task that calls these executors
+    :ivar late_orders_to_relay: wakes the task that reports them to other
+        servers
     :ivar max_asking_term: highest term whose leader asked this server whether
         it leads
     """
@@ -152,7 +154,7 @@
     roles: roles_.Roles = dataclasses.field(default_factory=roles_.Roles)
     configuration: queues.Configuration | None = None
     configuration_revision: int = 0
-    configuration_proven_s: float = -1e9
+    configuration_confirmed_s: float = -1e9
     configuration_readable: bool = False
     limits: dict[ids.TenantId, tenants_.Limit] = dataclasses.field(
         default_factory=dict
@@ -160,19 +162,19 @@
     revoked: access.Revoked = dataclasses.field(default_factory=access.Revoked)
     lease: int = 0
     lease_until_s: float = 0.0
-    contact_s: float = -1e9
-    back_s: float = -1e9
+    store_contact_s: float = -1e9
+    store_back_since_s: float = -1e9
     store_back: curio.Event = dataclasses.field(default_factory=curio.Event)
     began_s: float = dataclasses.field(default_factory=_now_s)
     last_led_term: int = 0
     max_asking_term: int = 0
     leader: 'Leader | None' = None
     stopping: bool = False
-    unanswered: late_orders.Book = dataclasses.field(
-        default_factory=late_orders.Book
+    late_order_executors: late_orders.UnansweredOrders = dataclasses.field(
+        default_factory=late_orders.UnansweredOrders
     )
-    unanswered_news: Signal = dataclasses.field(default_factory=Signal)
-    unanswered_untold: Signal = dataclasses.field(default_factory=Signal)
+    late_orders_changed: Signal = dataclasses.field(default_factory=Signal)
+    late_orders_to_relay: Signal = dataclasses.field(default_factory=Signal)
     roles_changed: Signal = dataclasses.field(default_factory=Signal)
     lease_wanted: Signal = dataclasses.field(default_factory=Signal)
 
@@ -185,23 +187,25 @@
     :ivar machines_read_s: send time of the request that returned this list
     :ivar machines_asked_s: send time of the latest request for a list,
         successful or not
-    :ivar missing: workers that the last list did not contain
+    :ivar missing_workers: workers that the last list did not contain
     :ivar waves: maintenance waves by number
     :ivar stored_waves: encoded progress of waves, as stored by earlier leaders
     :ivar first_sizes: number of machines of each pool before its first move
     :ivar needs: number of machines that each pool needs now
-    :ivar shortage_told_s: time at which a shortage of machines was last logged
-    :ivar crowded: pools in which no worker can take a long-running task that
-        has to move
-    :ivar moves_refused: time until which a machine is not asked to move again
+    :ivar shortage_logged_s: time at which a shortage of machines was last
+        logged
+    :ivar pools_without_capacity: pools in which no worker can take a
+        long-running task that has to move
+    :ivar move_retry_after_s: time until which a machine is not asked to move
+        again
     :ivar announced: time at which an order was announced, by machine
     :ivar maintained: announced machines that the order may take down for
         maintenance
-    :ivar turn_after_s: time from which a machine that an earlier leader sent
+    :ivar order_after_s: time from which a machine that an earlier leader sent
         an order may be sent one by this leader
-    :ivar none_before_s: the same for all other machines
+    :ivar no_order_before_s: the same for all other machines
     :ivar orders_left: number of orders that may still be sent, as of
-        ``orders_at_s``
+        ``orders_left_as_of_s``
     """
 
     machines: dict[str, fleet_.Machine] = dataclasses.field(
@@ -209,27 +213,33 @@
     )
     machines_read_s: float = -1e9
     machines_asked_s: float = -1e9
-    missing: set[ids.VmId] = dataclasses.field(default_factory=set)
+    missing_workers: set[ids.VmId] = dataclasses.field(default_factory=set)
     waves: dict[int, rolling.Progress] = dataclasses.field(
         default_factory=dict
     )
     stored_waves: dict[str, bytes] = dataclasses.field(default_factory=dict)
-    turns: demand.Turns = dataclasses.field(default_factory=demand.Turns)
+    arrival_history: demand.ArrivalHistory = dataclasses.field(
+        default_factory=demand.ArrivalHistory
+    )
     first_sizes: dict[ids.ServiceId, int] = dataclasses.field(
         default_factory=dict
     )
     needs: dict[ids.ServiceId, rebalancing.Need] = dataclasses.field(
         default_factory=dict
     )
-    shortage_told_s: float = -1e9
-    crowded: set[ids.ServiceId] = dataclasses.field(default_factory=set)
-    moves_refused: dict[str, float] = dataclasses.field(default_factory=dict)
+    shortage_logged_s: float = -1e9
+    pools_without_capacity: set[ids.ServiceId] = dataclasses.field(
+        default_factory=set
+    )
+    move_retry_after_s: dict[str, float] = dataclasses.field(
+        default_factory=dict
+    )
     announced: dict[str, float] = dataclasses.field(default_factory=dict)
     maintained: set[str] = dataclasses.field(default_factory=set)
-    turn_after_s: dict[str, float] = dataclasses.field(default_factory=dict)
-    none_before_s: float = 0.0
+    order_after_s: dict[str, float] = dataclasses.field(default_factory=dict)
+    no_order_before_s: float = 0.0
     orders_left: float = 0.0
-    orders_at_s: float = 0.0
+    orders_left_as_of_s: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -253,8 +263,8 @@
     :ivar fences_exhausted: whether an executor has received nearly all fences
         of this term
     :ivar deposed: reason why the leader must stop; empty while it leads
-    :ivar rosters_unread_until_s: time by which the leases have expired of the
-        workers whose stored worker list could not be decoded
+    :ivar worker_lists_unread_until_s: time by which the leases have expired of
+        the workers whose stored worker list could not be decoded
     :ivar unreadable_jobs: jobs whose stored progress could not be decoded
     :ivar lease_renewed_s: send time of the latest renewal of the lease that
         the leader's liveness key is attached to
@@ -262,23 +272,23 @@
     :ivar write_failed: whether the last progress write failed, which was
         logged
     :ivar seen_ends: ends that wait for writes, oldest first
-    :ivar entries_heard_s: send time of the latest call that confirmed that all
-        changes of the workers' entries are known
+    :ivar entries_confirmed_s: send time of the latest call that confirmed that
+        all changes of the workers' entries are known
     :ivar workers: workers by id; each is one incarnation of an executor
-    :ivar lives: incarnations of each executor that are not known to have
-        ended, in the order of first contact
-    :ivar ended_lives: incarnations found to have ended that have not been
-        reported yet
-    :ivar lately_gone: time at which each recently lost worker was found to be
-        gone
+    :ivar incarnations: incarnations of each executor that are not known to
+        have ended, in the order of first contact
+    :ivar ended_incarnations: incarnations found to have ended that have not
+        been reported yet
+    :ivar recently_gone: time at which each recently lost worker was found to
+        be gone
     :ivar arrivals_s: recent arrival times, by tenant, of jobs within the
         tenant's share
-    :ivar limits_told_s: time at which a tenant's limit was last logged
-    :ivar held_back: steps whose runs are starved of CPU and would finish
+    :ivar limits_logged_s: time at which a tenant's limit was last logged
+    :ivar starved_until_s: steps whose runs are starved of CPU and would finish
         sooner on another machine than their pool has, with the time until
         which this counts
-    :ivar relocated_s: time at which runs were last moved between workers, by
-        pool
+    :ivar last_relocation_s: time at which runs were last moved between
+        workers, by pool
     :ivar confirmed_until_s: time by which servers that cannot reach the store
         either must confirm again that no other server leads
     """
@@ -292,58 +302,66 @@
         default_factory=executors.Executors
     )
     machine_calls: machines_.Machines | None = None
-    entries_heard_s: float = -math.inf
+    entries_confirmed_s: float = -math.inf
     workers: dict[ids.VmId, workers_.Worker] = dataclasses.field(
         default_factory=dict
     )
-    lives: dict[ids.ExecutorId, dict[ids.VmId, None]] = dataclasses.field(
-        default_factory=dict
+    incarnations: dict[ids.ExecutorId, dict[ids.VmId, None]] = (
+        dataclasses.field(default_factory=dict)
     )
-    ended_lives: list[workers_.Worker] = dataclasses.field(
+    ended_incarnations: list[workers_.Worker] = dataclasses.field(
         default_factory=list
     )
-    lately_gone: dict[ids.VmId, float] = dataclasses.field(
+    recently_gone: dict[ids.VmId, float] = dataclasses.field(
         default_factory=dict
     )
     arrivals_s: dict[ids.TenantId, collections.deque[float]] = (
         dataclasses.field(default_factory=dict)
     )
-    limits_told_s: dict[ids.TenantId, float] = dataclasses.field(
+    limits_logged_s: dict[ids.TenantId, float] = dataclasses.field(
         default_factory=dict
     )
     orders: dict[ids.VmId, curio.Queue] = dataclasses.field(
         default_factory=dict
     )
-    ends_kept: dict[ids.VmId, Signal] = dataclasses.field(default_factory=dict)
-    reported_s: dict[ids.VmId, float] = dataclasses.field(default_factory=dict)
-    roster_dirty: set[ids.ServiceId] = dataclasses.field(default_factory=set)
+    ends_stored: dict[ids.VmId, Signal] = dataclasses.field(
+        default_factory=dict
+    )
+    last_report_s: dict[ids.VmId, float] = dataclasses.field(
+        default_factory=dict
+    )
+    unwritten_worker_lists: set[ids.ServiceId] = dataclasses.field(
+        default_factory=set
+    )
     lengths: lengths_.Lengths = dataclasses.field(
         default_factory=lengths_.Lengths
     )
-    wary_until_s: float = 0.0
-    pulse: leadership_transfer.TimerLateness = dataclasses.field(
+    lossy_until_s: float = 0.0
+    timer_lateness: leadership_transfer.TimerLateness = dataclasses.field(
         default_factory=leadership_transfer.TimerLateness
     )
     fleet: Fleet = dataclasses.field(default_factory=Fleet)
-    paces: dict[ids.VmId, slowness.Pace] = dataclasses.field(
+    paces: dict[ids.VmId, slowness.Speed] = dataclasses.field(
         default_factory=dict
     )
-    held_back: dict[ledgers.Group, float] = dataclasses.field(
+    starved_until_s: dict[ledgers.Group, float] = dataclasses.field(
         default_factory=dict
     )
-    relocated_s: dict[ids.ServiceId, float] = dataclasses.field(
+    last_relocation_s: dict[ids.ServiceId, float] = dataclasses.field(
         default_factory=dict
     )
-    written: dict[str, int] = dataclasses.field(default_factory=dict)
-    policy: policies.Kept = policies.NONE
+    written_revisions: dict[str, int] = dataclasses.field(default_factory=dict)
+    policy: policies.StoredPolicy = policies.NONE
     policy_revision: int = 0
     deposed: str = ''
     lease_renewed_s: float = -math.inf
     confirmed_until_s: float = 0.0
-    rosters_unread_until_s: float = -1e9
+    worker_lists_unread_until_s: float = -1e9
     unreadable_jobs: set[ids.JobId] = dataclasses.field(default_factory=set)
     early_cancels: set[ids.JobId] = dataclasses.field(default_factory=set)
-    entries: entries_.Book = dataclasses.field(default_factory=entries_.Book)
+    entries: entries_.UnusedEntries = dataclasses.field(
+        default_factory=entries_.UnusedEntries
+    )
     peer_connections: connections.Connections = dataclasses.field(
         default_factory=connections.Connections
     )
@@ -352,9 +370,9 @@
     seen_ends: collections.deque['SeenEnds'] = dataclasses.field(
         default_factory=collections.deque
     )
-    due: PoolSignal = dataclasses.field(default_factory=PoolSignal)
-    unkept: Signal = dataclasses.field(default_factory=Signal)
-    unrostered: Signal = dataclasses.field(default_factory=Signal)
+    placement_due: PoolSignal = dataclasses.field(default_factory=PoolSignal)
+    progress_changed: Signal = dataclasses.field(default_factory=Signal)
+    worker_lists_changed: Signal = dataclasses.field(default_factory=Signal)
     ended: Signal = dataclasses.field(default_factory=Signal)
     new_workers: curio.Queue = dataclasses.field(default_factory=curio.Queue)
     fences: fences_.Fences = dataclasses.field(init=False)
@@ -364,56 +382,58 @@
         self.fences = fences_.Fences(self.term)
 
 
-def lives_of(
+def incarnations_of(
     leader: Leader, executor: ids.ExecutorId
 ) -> list[workers_.Worker]:
     """Return the incarnations of an executor not known to have ended."""
     return [
         leader.workers[name]
-        for name in leader.lives.get(executor, ())
+        for name in leader.incarnations.get(executor, ())
         if name in leader.workers
     ]
 
 
-def worker_of(
+def latest_incarnation(
     leader: Leader, executor: ids.ExecutorId
 ) -> workers_.Worker | None:
     """Return the incarnation of an executor that answered last.
 
     If none has answered, return the one contacted last; None if there is none.
     """
-    known = lives_of(leader, executor)
+    known = incarnations_of(leader, executor)
     return max(
-        known, key=lambda row: (row.clock_at_s, row.met_s), default=None
+        known,
+        key=lambda row: (row.clock_at_s, row.first_contact_s),
+        default=None,
     )
 
 
 def fence_of(leader: Leader, worker: workers_.Worker) -> ids.Fence:
     """Return the fence of the next order to a worker."""
-    executor = lives.executor(worker.entry.worker)
+    executor = incarnations.executor_of(worker.entry.worker)
     return fences_.current(leader.fences, executor)
 
 
 def fence_number(leader: Leader, worker: workers_.Worker) -> int:
     """Return that fence's number within its term, for the log."""
-    executor = lives.executor(worker.entry.worker)
+    executor = incarnations.executor_of(worker.entry.worker)
     return fences_.number(leader.fences, executor)
 
 
 def raise_fence(leader: Leader, worker: workers_.Worker) -> None:
     """Raise the fence of a worker's next order above all earlier ones."""
-    executor = lives.executor(worker.entry.worker)
+    executor = incarnations.executor_of(worker.entry.worker)
     fences_.raise_fence(leader.fences, executor)
     if fences_.are_used_up(leader.fences, executor):
         leader.fences_exhausted = True
 
 
-def is_overtaken(
+def is_superseded(
     leader: Leader, worker: workers_.Worker, fence: ids.Fence
 ) -> bool:
     """Return whether a later call to the worker had a higher fence."""
-    executor = lives.executor(worker.entry.worker)
-    return fences_.is_overtaken(leader.fences, executor, fence)
+    executor = incarnations.executor_of(worker.entry.worker)
+    return fences_.is_superseded(leader.fences, executor, fence)
 
 
 def may_act(leader: Leader) -> bool:
@@ -468,7 +488,7 @@
     return configuration.tenants.by_name
 
 
-def weights(leader: Leader) -> dict[ids.TenantId, float]:
+def tenant_weights(leader: Leader) -> dict[ids.TenantId, float]:
     """Return the weight of each tenant in the newest configuration."""
     rows = known_tenants(leader).values()
     return {tenant.name: tenant.weight for tenant in rows}
@@ -489,8 +509,10 @@
         'process': server.process,
         'stopping': server.stopping,
         'lease_left_s': round(server.lease_until_s - now_s, 2),
-        'contact_age_s': round(now_s - server.contact_s, 2),
-        'configuration_age_s': round(now_s - server.configuration_proven_s, 2),
+        'contact_age_s': round(now_s - server.store_contact_s, 2),
+        'configuration_age_s': round(
+            now_s - server.configuration_confirmed_s, 2
+        ),
         'leader': roles.leader.holder if roles.leader else None,
         'term': roles.leader.term if roles.leader else 0,
         'servers': sorted(row.name for row in roles.servers.values()),
@@ -509,7 +531,7 @@
         'groups_waiting': len(leader.ledger.open_groups),
         'unwritten': len(leader.ledger.dirty),
         'policy': leader.policy.number,
-        'timers_late_s': round(leader.pulse.late_s, 3),
+        'timers_late_s': round(leader.timer_lateness.late_s, 3),
         'workers': {
             name: {
                 'service': worker.entry.service,
--- a/oleanderwood/leading/term.py
+++ b/oleanderwood/leading/term.py
@@ -18,19 +18,19 @@
 from oleanderwood.jobs import ledger as ledgers
 from oleanderwood.jobs import record
 from oleanderwood.leading import advising
-from oleanderwood.leading import confirming
+from oleanderwood.leading import confirmation
 from oleanderwood.leading import dispatch
 from oleanderwood.leading import fenced_writes
 from oleanderwood.leading import fleet_loop
-from oleanderwood.leading import former
 from oleanderwood.leading import intake
-from oleanderwood.leading import keeping
 from oleanderwood.leading import leadership_transfer
 from oleanderwood.leading import lease
-from oleanderwood.leading import machine_turns
-from oleanderwood.leading import meeting
+from oleanderwood.leading import machine_handover
 from oleanderwood.leading import parallel
 from oleanderwood.leading import pool_loop
+from oleanderwood.leading import previous_leaders
+from oleanderwood.leading import progress_writer
+from oleanderwood.leading import registration
 from oleanderwood.leading import roles as roles_
 from oleanderwood.leading import schedule
 from oleanderwood.leading import state as states
@@ -45,7 +45,7 @@
 from oleanderwood.pools import reports
 from oleanderwood import server_metrics
 
-WATCH_S = 1.0
+WATCH_TIMEOUT_S = 1.0
 """Maximum duration of a watch, in seconds. A dead connection is detected after
 this time plus the client's own allowance, early enough for a change of the
 configuration."""
@@ -145,11 +145,11 @@
         _follow_waves(leader),
         _run_worker_loops(leader),
         schedule.place_always(leader),
-        keeping.write_progress_always(leader),
-        keeping.write_worker_lists_always(leader),
-        keeping.remove_ended_jobs_always(leader),
-        confirming.confirm_always(leader),
-        former.await_ends_always(leader),
+        progress_writer.write_progress_always(leader),
+        progress_writer.write_worker_lists_always(leader),
+        progress_writer.remove_ended_jobs_always(leader),
+        confirmation.confirm_always(leader),
+        previous_leaders.await_ends_always(leader),
         _watch_role(leader),
     ]
     address = leader.server.settings.advice_address
@@ -180,7 +180,7 @@
     :raises errors.CallFailed: the store did not answer
     """
     ranges = (
-        keeping.ROSTER_PREFIX,
+        progress_writer.WORKER_LIST_PREFIX,
         record.INTAKE_PREFIX,
         record.PROGRESS_PREFIX,
         fleet_loop.WAVES_PREFIX,
@@ -193,7 +193,7 @@
     ]
     calls.append(
         functools.partial(
-            stores.read, store, machine_turns.KEY, READ_START_TIMEOUT_S
+            stores.read, store, machine_handover.KEY, READ_START_TIMEOUT_S
         )
     )
     again = [functools.partial(_call_until_answered, call) for call in calls]
@@ -222,7 +222,7 @@
     orders, waves = stored.orders, stored.waves
     if orders is not None:
         fenced_writes.note_read(leader, orders)
-        machine_turns.restore_or_wait(leader, orders.value)
+        machine_handover.restore_or_wait(leader, orders.value)
     for item in [
         *stored.worker_lists.items,
         *stored.progress.items,
@@ -261,7 +261,7 @@
 ) -> None:
     """Register the workers that an earlier leader may have used."""
     now_s = clock.now_s()
-    leases_end_s = former.leases_end_s(leader, now_s)
+    leases_end_s = previous_leaders.leases_end_s(leader, now_s)
     for item in worker_lists.items:
         try:
             entries_ = _callable_workers(item)
@@ -270,10 +270,10 @@
             # which of them were used, so tasks that may be running
             # somewhere wait until all leases have expired.
             event_log.emit('worker', 'malformed', key=item.key, why=str(error))
-            leader.rosters_unread_until_s = leases_end_s
+            leader.worker_lists_unread_until_s = leases_end_s
             continue
         for entry in entries_:
-            worker = await meeting.meet(leader, entry, listed=False)
+            worker = await registration.register(leader, entry, listed=False)
             worker.lease_end_s = leases_end_s
 
 
@@ -284,7 +284,7 @@
 
     :raises msgspec.MsgspecError: the list cannot be decoded
     """
-    rows = keeping.decode_worker_list(item.value)
+    rows = progress_writer.decode_worker_list(item.value)
     return [row for row in rows if entries.is_callable(row)]
 
 
@@ -315,7 +315,7 @@
     for entry in entries:
         age_s = max(0.0, (wall_ms - entry.job.handed_in_ms) / 1000)
         entry.arrived_s = now_s - age_s
-        if age_s < demand.MEAN_S:
+        if age_s < demand.MEAN_WINDOW_S:
             pool_loop.note_arrival(leader, entry, now_s - age_s)
 
 
@@ -329,14 +329,14 @@
     async def apply(items: list[stores.Item], whole: bool) -> None:
         for item in items:
             intake.apply_intake(leader, item, taking_over=False)
-        await intake.after_intake(leader)
+        await intake.wake_after_intake(leader)
 
     await watcher.follow(
         leader.server.store,
         record.INTAKE_PREFIX,
-        WATCH_S,
+        WATCH_TIMEOUT_S,
         apply,
-        lease.contact(leader.server),
+        lease.store_contact(leader.server),
         revision,
     )
 
@@ -349,12 +349,12 @@
             await intake.mark_absent_unlisted(leader, items)
 
     async def note(sent_s: float) -> None:
-        leader.entries_heard_s = sent_s
+        leader.entries_confirmed_s = sent_s
         await lease.note_contact(leader.server, sent_s)
 
-    contact = watcher.Contact(note, leader.server.store_back)
+    contact = watcher.StoreContact(note, leader.server.store_back)
     await watcher.follow(
-        leader.server.store, executors.PREFIX, WATCH_S, apply, contact
+        leader.server.store, executors.PREFIX, WATCH_TIMEOUT_S, apply, contact
     )
 
 
@@ -366,9 +366,9 @@
     await watcher.follow(
         leader.server.store,
         operator.WAVES_PREFIX,
-        WATCH_S,
+        WATCH_TIMEOUT_S,
         apply,
-        lease.contact(leader.server),
+        lease.store_contact(leader.server),
     )
 
 
@@ -413,14 +413,14 @@
         await curio.sleep(ROLE_CHECK_INTERVAL_S)
         now_s = clock.now_s()
         late_s = now_s - asleep_s - ROLE_CHECK_INTERVAL_S
-        leadership_transfer.measure(leader.pulse, late_s, now_s)
+        leadership_transfer.measure(leader.timer_lateness, late_s, now_s)
         roles = server.roles
         if roles.leader_revision > leader.revision:
             await states.depose(leader, 'another server leads')
         elif server.stopping:
             await _hand_over(leader)
             await states.depose(leader, 'the server is stopping')
-        elif not roles.alive_revision and roles.known and server.lease:
+        elif not roles.alive_revision and roles.is_loaded and server.lease:
             await _restore_liveness_key(leader)
         elif why := _reason_to_yield(leader, now_s):
             await _hand_over(leader)
@@ -436,7 +436,7 @@
         return 'its fences are used up'
     others = roles_.peers(server.roles, server.process)
     return leadership_transfer.reason(
-        leader.pulse,
+        leader.timer_lateness,
         boot.cores(server.settings),
         [row.cores for row in others],
         now_s - leader.began_s,
@@ -464,7 +464,7 @@
         event_log.emit('leader', 'not-marked', why=str(error))
         return
     except stores.Conflict as conflict:
-        roles_.learn(server.roles, conflict.items)
+        roles_.apply_items(server.roles, conflict.items)
         event_log.emit('leader', 'not-marked', why=str(conflict))
         return
     roles_.note_alive(server.roles, server.process, revision, lease_)
@@ -476,7 +476,7 @@
     event_log.emit('leader', 'hands-over', term=leader.term)
     try:
         async with curio.timeout_after(HANDOVER_TIMEOUT_S):
-            await keeping.flush_progress(leader)
+            await progress_writer.flush_progress(leader)
     except curio.TaskTimeout as error:
         # Workers keep reporting ends that were not acknowledged.
         event_log.emit('leader', 'not-all-written', why=repr(error))
@@ -489,7 +489,7 @@
     if roles.leader_revision != leader.revision:
         return
     writes = {}
-    if not roles_.unsettled_terms(roles, leader.term):
+    if not roles_.unended_terms(roles, leader.term):
         writes[roles_.ENDED_KEY] = b'%d' % leader.term
     for _ in range(RESIGN_TRIES):
         try:
--- a/oleanderwood/leading/watcher.py
+++ b/oleanderwood/leading/watcher.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Contact:
+class StoreContact:
     """Callbacks between a follower of the store and the rest of the server.
 
     :ivar on_answer: called with the send time of each answered call
@@ -38,7 +38,7 @@
     prefix: str,
     wait_s: float,
     on_items: OnItems,
-    contact: Contact,
+    contact: StoreContact,
     revision: int | None = None,
 ) -> None:
     """Pass on all items below a prefix, and their changes, until cancelled.
--- a/oleanderwood/leading/worker_loop.py
+++ b/oleanderwood/leading/worker_loop.py
@@ -8,10 +8,10 @@
 from oleanderwood import event_log
 from oleanderwood import ids
 from oleanderwood.jobs import ledger as ledgers
-from oleanderwood.leading import former
 from oleanderwood.leading import late_orders
 from oleanderwood.leading import losses as losses_
-from oleanderwood.leading import meeting
+from oleanderwood.leading import previous_leaders
+from oleanderwood.leading import registration
 from oleanderwood.leading import relocating
 from oleanderwood.leading import restarts
 from oleanderwood.leading import slow_workers
@@ -87,7 +87,7 @@
     while not worker.gone and not leader.deposed:
         lossy = _is_lossy(leader)
         if not states.may_act(leader):
-            await _keep_fenced(leader, worker)
+            await _send_fence(leader, worker)
             await curio.sleep(SILENT_PAUSE_S)
             continue
         first = worker.silent_since_s is None
@@ -98,13 +98,13 @@
         if not answered:
             # The first call that fails is repeated without a pause.
             await curio.sleep(0 if first else SILENT_PAUSE_S)
-        elif worker.seen_end > worker.kept_end:
-            await leader.unkept.set()
-            wake = leader.ends_kept[worker.entry.worker]
+        elif worker.seen_end > worker.stored_end:
+            await leader.progress_changed.set()
+            wake = leader.ends_stored[worker.entry.worker]
             await wake.wait(PERSIST_WAIT_S)
 
 
-async def _keep_fenced(leader: states.Leader, worker: workers_.Worker) -> None:
+async def _send_fence(leader: states.Leader, worker: workers_.Worker) -> None:
     """Send a worker this term's fence while the leader may not act.
 
     The executor may restart meanwhile, and there may be no other leader: its
@@ -144,26 +144,26 @@
 def _has_task_starting(worker: workers_.Worker) -> bool:
     """Return whether a long-running task there is not known to be at work."""
     return any(
-        task.group.step.lasting
+        task.group.step.is_long_running
         and task.run is not None
-        and task.run.at_work_since_s is None
+        and task.run.serving_since_s is None
         for task in worker.runs.values()
     )
 
 
 def _is_lossy(leader: states.Leader) -> bool:
-    lossy = clock.now_s() < leader.wary_until_s
-    leader.calls.timeout_s = timeout_s(lossy, leader.pulse.late_s)
+    lossy = clock.now_s() < leader.lossy_until_s
+    leader.calls.timeout_s = timeout_s(lossy, leader.timer_lateness.late_s)
     return lossy
 
 
-def timeout_s(wary: bool, late_s: float) -> float:
+def timeout_s(lossy: bool, late_s: float) -> float:
     """Return the timeout of an order.
 
-    :param wary: calls are being lost
+    :param lossy: calls are being lost
     :param late_s: the lag of this server's own timers
     """
-    calm_s = LOSSY_TIMEOUT_S if wary else executors.ORDER_TIMEOUT_S
+    calm_s = LOSSY_TIMEOUT_S if lossy else executors.ORDER_TIMEOUT_S
     return calm_s + TIMER_LAG_FACTOR * late_s
 
 
@@ -196,7 +196,7 @@
     that moves closes one.
     """
     if isinstance(error, errors.Unanswered):
-        leader.wary_until_s = clock.now_s() + LOSSY_S
+        leader.lossy_until_s = clock.now_s() + LOSSY_S
         _is_lossy(leader)
 
 
@@ -224,11 +224,11 @@
     answers = worker.fenced and worker.silent_since_s is None
     if answers and worker.runs and states.may_act(leader):
         lease_end_ms = new_lease_end_ms(leader, worker, sent_s)
-        workers_.note_lease(worker, lease_end_ms)
+        workers_.record_lease(worker, lease_end_ms)
     just_answered = sent_s - worker.clock_at_s <= JUST_ANSWERED_S
     acknowledged = 0
     if answers and acknowledge and just_answered:
-        acknowledged = worker.kept_end
+        acknowledged = worker.stored_end
     fence = states.fence_of(leader, worker)
     order = reports.Renewal(fence, acknowledged, lease_end_ms, longest_wait_ms)
     try:
@@ -266,13 +266,13 @@
     if called.gone or not restarts.is_earlier(called, sent_s):
         return
     if not states.holds_lease(leader):
-        # As in ``lost``: a later leader may have recorded an end there.
+        # As in ``mark_gone``: a later leader may have recorded an end there.
         note_silence(called, RESTARTED)
         return
     worker = leader.workers.get(report.worker)
     if worker is None:
         entry = msgspec.structs.replace(called.entry, worker=report.worker)
-        worker = await meeting.meet(
+        worker = await registration.register(
             leader, entry, listed=False, provisional=True
         )
     await process_report(leader, worker, report, sent_s)
@@ -294,15 +294,15 @@
 ) -> None:
     """Process a worker's report, unless it answers an older call."""
     name = worker.entry.worker
-    if worker.gone or sent_s < leader.reported_s.get(name, 0.0):
+    if worker.gone or sent_s < leader.last_report_s.get(name, 0.0):
         return
-    leader.reported_s[name] = sent_s
+    leader.last_report_s[name] = sent_s
     now_s = clock.now_s()
     # No other coroutine may run from here until take_report returns: a task of
     # an earlier incarnation that runs here could be started elsewhere.
     refused = restarts.supersede_earlier(leader, worker, report, sent_s)
     if not worker.fenced:
-        longest_s = former.longest_lease_s(leader)
+        longest_s = previous_leaders.max_lease_s(leader)
         worker.lease_end_s = min(worker.lease_end_s, now_s + longest_s)
     is_back = not worker.fenced or worker.silent_since_s is not None
     if is_back:
@@ -315,19 +315,19 @@
             running=len(report.running),
             ended=len(report.ended),
         )
-    workers_.note_answer(worker, report, now_s)
+    workers_.record_answer(worker, report, now_s)
     known = states.known_queues(leader)
 
     def most_attempts(entry: ledgers.Entry) -> int:
         return placing.queue_of(entry, known).most_attempts
 
-    outcome = workers_.take_report(
+    outcome = workers_.process_report(
         leader.ledger, worker, report, sent_s, now_s, most_attempts
     )
     if is_back:
-        await leader.due.set(worker.entry.service)
+        await leader.placement_due.set(worker.entry.service)
     await restarts.notify_ended(leader)
-    for note in outcome.notes:
+    for note in outcome.events:
         server_metrics.ENDS.labels(note.event).inc()
         event_log.emit(
             'run',
@@ -342,23 +342,23 @@
     for stop in [*refused, *outcome.stops]:
         order = states.StopOrder(stop.task, stop.attempt)
         await leader.orders[name].put(order)
-    for task in outcome.elsewhere:
+    for task in outcome.stop_elsewhere:
         await stop_run(leader, task)
     if leader.ledger.dirty:
-        await leader.unkept.set()
+        await leader.progress_changed.set()
         await stop_ended_jobs(leader)
     for pace in pacing.decide(worker):
         await leader.orders[name].put(
             states.PaceOrder(pace.task, pace.percent)
         )
-    for task in stalls.stalled(worker, now_s):
+    for task in stalls.stalled_tasks(worker, now_s):
         await _give_up_stalled(leader, worker, task)
     leaving = slow_workers.tasks_to_move(leader, worker, now_s)
     for task in leaving + relocating.tasks_to_move(leader, worker, now_s):
         task.failed_on = name
         await stop_run(leader, task)
     if outcome.changed:
-        await leader.due.set(worker.entry.service)
+        await leader.placement_due.set(worker.entry.service)
 
 
 async def _give_up_stalled(
@@ -380,7 +380,7 @@
 async def stop_ended_jobs(leader: states.Leader) -> None:
     """Stop the runs of jobs that have ended."""
     for entry in list(leader.ledger.dirty.values()):
-        if ledgers.final(entry):
+        if ledgers.is_final(entry):
             for task in list(ledgers.runs(entry)):
                 await stop_run(leader, task)
 
@@ -430,7 +430,7 @@
     :return: True if the order may be sent again, as a later call of this
         leader overtook it; otherwise another server leads, and the term ends
     """
-    if states.is_overtaken(leader, worker, fence):
+    if states.is_superseded(leader, worker, fence):
         return True
     await states.depose(leader, 'a worker has seen a higher term')
     return False
@@ -440,11 +440,11 @@
     leader: states.Leader, worker: workers_.Worker
 ) -> None:
     """Handle a worker whose address now belongs to another worker."""
-    if not await lost(leader, worker, REPLACED):
+    if not await mark_gone(leader, worker, REPLACED):
         note_silence(worker, REPLACED)
 
 
-async def lost(
+async def mark_gone(
     leader: states.Leader,
     worker: workers_.Worker,
     why: str,
@@ -465,7 +465,7 @@
     worker.gone = True
     now_s = clock.now_s()
     losses = losses_.record(leader, worker, planned)
-    tasks = workers_.lost(leader.ledger, worker, now_s)
+    tasks = workers_.end_all_runs(leader.ledger, worker, now_s)
     event_log.emit(
         'worker',
         'gone',
@@ -476,10 +476,10 @@
     )
     restarts.forget(leader, worker)
     await leader.orders[worker.entry.worker].put(None)
-    await leader.unrostered.set()
-    await leader.unkept.set()
+    await leader.worker_lists_changed.set()
+    await leader.progress_changed.set()
     await stop_ended_jobs(leader)
-    await leader.due.set(worker.entry.service)
+    await leader.placement_due.set(worker.entry.service)
     return True
 
 
--- a/oleanderwood/maintenance/disruption_budget.py
+++ b/oleanderwood/maintenance/disruption_budget.py
@@ -14,8 +14,8 @@
     return (
         run is not None
         and run.phase is ledgers.RunPhase.RUNNING
-        and run.at_work_since_s is not None
-        and now_s - run.at_work_since_s >= MIN_WORKING_S
+        and run.serving_since_s is not None
+        and now_s - run.serving_since_s >= MIN_WORKING_S
     )
 
 
@@ -30,23 +30,24 @@
     A step without an allowance may lose one task at a time, so that
     maintenance can proceed.
     """
-    return max(1, group.step.most_away) - count_unavailable(group, now_s)
+    return max(1, group.step.max_unavailable) - count_unavailable(group, now_s)
 
 
-def note_order(worker: workers_.Worker, now_s: float) -> None:
+def mark_unavailable(worker: workers_.Worker, now_s: float) -> None:
     """Mark all tasks on a worker as unavailable, as an order may end them."""
     for task in worker.runs.values():
         if task.run is not None:
-            task.run.at_work_since_s = None
-            task.away_since_s = now_s
+            task.run.serving_since_s = None
+            task.not_serving_since_s = now_s
 
 
-def may_end_all(worker: workers_.Worker, now_s: float) -> bool:
+def may_interrupt_all(worker: workers_.Worker, now_s: float) -> bool:
     """Return whether an order may end all tasks that run on a worker."""
     groups = {
         task.group
         for task in worker.runs.values()
-        if task.group.step.lasting and not ledgers.final(task.group.entry)
+        if task.group.step.is_long_running
+        and not ledgers.is_final(task.group.entry)
     }
     return all(_may_interrupt_step(group, worker, now_s) for group in groups)
 
@@ -66,4 +67,6 @@
             ended += 1
         elif not is_working(task, now_s):
             unavailable += 1
-    return ended == 0 or ended + unavailable <= max(1, group.step.most_away)
+    return ended == 0 or ended + unavailable <= max(
+        1, group.step.max_unavailable
+    )
--- a/oleanderwood/maintenance/rolling.py
+++ b/oleanderwood/maintenance/rolling.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ordered:
+class MaintenanceOrder:
     """An order to maintain a machine.
 
     :ivar before: the machine's worker at the time, '' if it was off
@@ -68,9 +68,9 @@
     """
 
     wave: fleet.Wave
-    seen_s: float
+    first_seen_s: float
     begun: set[str] = dataclasses.field(default_factory=set)
-    down: dict[str, Ordered] = dataclasses.field(default_factory=dict)
+    down: dict[str, MaintenanceOrder] = dataclasses.field(default_factory=dict)
     closed: set[str] = dataclasses.field(default_factory=set)
     refused_until_s: dict[str, float] = dataclasses.field(default_factory=dict)
     waits: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -93,7 +93,7 @@
     completed: bool = False
 
 
-def note_returns(
+def remove_returned(
     progress: Progress,
     machines: dict[str, fleet.Machine],
     read_s: float,
@@ -179,7 +179,7 @@
         if len(decision.close) < wave.most_at_once + CLOSED_AHEAD:
             if worker is None or hurry:
                 decision.close.add(name)
-            elif disruption_budget.may_end_all(worker, now_s):
+            elif disruption_budget.may_interrupt_all(worker, now_s):
                 decision.close.add(name)
         if decision.relocate is None and worker is not None:
             decision.relocate = _task_to_relocate(worker, now_s)
@@ -226,7 +226,7 @@
     if not worker.fenced or worker.silent_since_s is not None:
         # Its runs are not known yet, or no longer known.
         return 'its worker does not answer'
-    if not disruption_budget.may_end_all(worker, now_s):
+    if not disruption_budget.may_interrupt_all(worker, now_s):
         return 'its long-running tasks are needed'
     if _batch_task_count(worker) and not hurry:
         return 'it has work'
@@ -243,10 +243,10 @@
     """
     here: dict[ledgers.Group, list[ledgers.Task]] = {}
     for task in worker.runs.values():
-        if task.group.step.lasting:
+        if task.group.step.is_long_running:
             here.setdefault(task.group, []).append(task)
     for group, tasks in here.items():
-        allowed = max(1, group.step.most_away)
+        allowed = max(1, group.step.max_unavailable)
         if (
             len(tasks) > allowed
             and disruption_budget.remaining_budget(group, now_s) > 0
@@ -256,13 +256,17 @@
 
 
 def _batch_task_count(worker: workers_.Worker) -> int:
-    return sum(not task.group.step.lasting for task in worker.runs.values())
+    return sum(
+        not task.group.step.is_long_running for task in worker.runs.values()
+    )
 
 
 def _long_running_task_count(worker: workers_.Worker | None) -> int:
     if worker is None:
         return 0
-    return sum(task.group.step.lasting for task in worker.runs.values())
+    return sum(
+        task.group.step.is_long_running for task in worker.runs.values()
+    )
 
 
 def _order_key(worker: workers_.Worker | None, now_s: float):
@@ -278,9 +282,9 @@
     batch = sum(
         task.group.step.needs.cpu_millicores
         for task in worker.runs.values()
-        if not task.group.step.lasting
+        if not task.group.step.is_long_running
     )
-    may_go = disruption_budget.may_end_all(worker, now_s)
+    may_go = disruption_budget.may_interrupt_all(worker, now_s)
     return (not may_go, not _long_running_task_count(worker), batch)
 
 
@@ -289,5 +293,5 @@
 ) -> bool:
     rounds = -(-pending // max(1, progress.wave.most_at_once))
     needed_s = rounds * (maintenance_s + CYCLE_SLACK_S)
-    left_s = progress.seen_s + progress.wave.time_s - now_s
+    left_s = progress.first_seen_s + progress.wave.time_s - now_s
     return left_s < HURRY_FACTOR * needed_s
--- a/oleanderwood/operators/desk.py
+++ b/oleanderwood/operators/desk.py
@@ -53,7 +53,7 @@
         ) from group
 
 
-async def current(store: stores.Store) -> tuple[model.Kept, int]:
+async def current(store: stores.Store) -> tuple[model.StoredPolicy, int]:
     """Read the policy in force, and the revision of its key; 0 for none.
 
     :raises errors.CallFailed: the store didn't answer
@@ -126,7 +126,7 @@
     changes = tuple(reading.differences(kept.policy, policy))
     number = kept.number + 1
     at_ms = clock.wall_ms()
-    new = model.Kept(
+    new = model.StoredPolicy(
         number, policy, body.text, body.author, body.operation, at_ms
     )
     row = messages.Record(number, body.author, body.operation, at_ms, changes)
@@ -151,7 +151,7 @@
 
 
 def compare(
-    kept: model.Kept, text: str, unknown: tuple[str, ...]
+    kept: model.StoredPolicy, text: str, unknown: tuple[str, ...]
 ) -> messages.PlanReply:
     """Tell what a file would change.
 
--- a/oleanderwood/operators/view.py
+++ b/oleanderwood/operators/view.py
@@ -56,7 +56,7 @@
             if machine.pool == service
         ]
         busy = sum(
-            workers_.used(worker).cpu_millicores
+            workers_.used_resources(worker).cpu_millicores
             for worker in leader.workers.values()
             if worker.entry.service == service
         )
@@ -87,7 +87,7 @@
 def tenants(leader: states.Leader) -> messages.TenantsReply:
     """Tell what each tenant has running, and what it waits for."""
     limits = leader.server.limits
-    weights = states.weights(leader)
+    weights = states.tenant_weights(leader)
     quotas = quotas_.make(
         leader.policy.policy, leader.workers.values(), leader.ledger, limits
     )
@@ -97,7 +97,7 @@
         if group.waiting and ledgers.is_ready(group, wall_ms):
             entry = group.entry
             jobs = waiting.setdefault(entry.job.tenant, {})
-            jobs[entry.job.job] = entry.beyond
+            jobs[entry.job.job] = entry.over_rate
     return messages.TenantsReply(
         tuple(
             _tenant(name, quotas, weights.get(name, 0.0), waiting)
--- a/oleanderwood/platform/advice.py
+++ b/oleanderwood/platform/advice.py
@@ -6,7 +6,7 @@
 
 from oleanderwood import ids
 from oleanderwood.platform import transport
-from oleanderwood.pools import lives
+from oleanderwood.pools import incarnations
 from oleanderwood.web import connections
 
 MOST_WORKERS = 100
@@ -48,7 +48,9 @@
     :param step: the name of its tasks without their index
     :raises errors.CallFailed: no answer, or too many questions wait
     """
-    asked = {lives.executor(name): name for name in workers[:MOST_WORKERS]}
+    asked = {
+        incarnations.executor_of(name): name for name in workers[:MOST_WORKERS]
+    }
     body = {'step': step, 'workers': list(asked)}
     answer = await transport.call(
         calls.kept,
--- a/oleanderwood/platform/callers.py
+++ b/oleanderwood/platform/callers.py
@@ -87,11 +87,11 @@
         near_rack=wire.affinity,
         max_per_worker=wire.max_per_server,
         speculative=wire.speculative,
-        lasting=wire.long_running,
+        is_long_running=wire.long_running,
         image=wire.image,
         latency_target_ms=wire.target_ms,
         uses_leftover=wire.fills,
-        most_away=wire.may_miss,
+        max_unavailable=wire.may_miss,
     )
 
 
--- a/oleanderwood/platform/entries.py
+++ b/oleanderwood/platform/entries.py
@@ -12,7 +12,7 @@
 from oleanderwood.jobs import model
 from oleanderwood.platform import executors
 from oleanderwood.pools import entries
-from oleanderwood.pools import lives
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import reports
 
 MAX_ENTRY_BYTES = 64 << 10
@@ -92,7 +92,7 @@
     _check(wire)
     born = None if wire.born is msgspec.UNSET else wire.born
     return reports.Entry(
-        worker=lives.life(ids.ExecutorId(name), born),
+        worker=incarnations.incarnation_name(ids.ExecutorId(name), born),
         service=ids.ServiceId(wire.service),
         address=ids.Address(wire.addr),
         data_centre=ids.DataCentre(wire.zone),
@@ -149,5 +149,5 @@
 
 def is_callable(entry: reports.Entry) -> bool:
     """Say whether orders can be addressed to an entry's worker at all."""
-    name = lives.executor(entry.worker)
+    name = incarnations.executor_of(entry.worker)
     return bool(_ID.fullmatch(name)) and can_be_called(entry.address)
--- a/oleanderwood/platform/executors.py
+++ b/oleanderwood/platform/executors.py
@@ -9,7 +9,7 @@
 from oleanderwood import ids
 from oleanderwood.jobs import model
 from oleanderwood.platform import transport
-from oleanderwood.pools import lives
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import reports
 from oleanderwood.web import connections
 
@@ -238,7 +238,9 @@
     wire = transport.decoded(answer, _WireReport)
     worker = meant
     if wire.born is not msgspec.UNSET:
-        worker = lives.life(lives.executor(meant), wire.born)
+        worker = incarnations.incarnation_name(
+            incarnations.executor_of(meant), wire.born
+        )
     running = [
         reports.Running(
             task=row.task,
@@ -293,6 +295,11 @@
         'POST',
         target,
         msgspec.json.encode(body),
-        [(b'expect-instance', lives.executor(at.worker).encode('ascii'))],
+        [
+            (
+                b'expect-instance',
+                incarnations.executor_of(at.worker).encode('ascii'),
+            )
+        ],
         timeout_s=calls.timeout_s + wait_s,
     )
--- a/oleanderwood/platform/operator.py
+++ b/oleanderwood/platform/operator.py
@@ -109,7 +109,7 @@
     """
     if not isinstance(rows, list):
         return tenants_.Tenants(faults=('the tenants are no list',))
-    good: list[tenants_.Row] = []
+    good: list[tenants_.TenantEntry] = []
     faults: list[str] = []
     for index, row in enumerate(rows):
         try:
@@ -119,7 +119,7 @@
     return tenants_.collect(good, faults)
 
 
-def _tenant(row: typing.Any) -> tenants_.Row:
+def _tenant(row: typing.Any) -> tenants_.TenantEntry:
     wire = msgspec.convert(row, type=_WireTenant)
     if not (math.isfinite(wire.weight) and wire.weight > 0):
         raise ValueError('a weight that is not above 0')
@@ -127,7 +127,7 @@
     keys = [key.encode() for key in wire.api_keys]
     if not all(keys):
         raise ValueError('an empty key')
-    return tenants_.Row(
+    return tenants_.TenantEntry(
         tenants_.Tenant(
             ids.TenantId(wire.name),
             wire.weight,
--- a/oleanderwood/policy/model.py
+++ b/oleanderwood/policy/model.py
@@ -62,7 +62,7 @@
     weights: Weights = Weights()
 
 
-class Kept(msgspec.Struct, frozen=True):
+class StoredPolicy(msgspec.Struct, frozen=True):
     """A policy as the store holds it.
 
     :ivar number: version, which each apply increases by one
@@ -80,7 +80,7 @@
     at_ms: float
 
 
-NONE = Kept(0, Policy(), '', '', ids.OperationId(''), 0.0)
+NONE = StoredPolicy(0, Policy(), '', '', ids.OperationId(''), 0.0)
 """The policy in force before the first apply."""
 
 
--- a/oleanderwood/policy/reading.py
+++ b/oleanderwood/policy/reading.py
@@ -183,14 +183,14 @@
     return rows
 
 
-def encode(kept: model.Kept) -> bytes:
+def encode(kept: model.StoredPolicy) -> bytes:
     """Encode a policy for the store."""
     return msgspec.json.encode(kept)
 
 
-def decode(value: bytes) -> model.Kept:
+def decode(value: bytes) -> model.StoredPolicy:
     """Decode a policy that :func:`encode` has encoded.
 
     :raises msgspec.MsgspecError: the value is malformed
     """
-    return msgspec.json.decode(value, type=model.Kept)
+    return msgspec.json.decode(value, type=model.StoredPolicy)
--- a/oleanderwood/pools/blame.py
+++ b/oleanderwood/pools/blame.py
@@ -13,7 +13,7 @@
 a common one: a rack, a switch or a site's power."""
 
 
-def is_common(
+def has_common_cause(
     gone_s: float, others_s: collections.abc.Iterable[float]
 ) -> bool:
     """Return whether a worker went down together with others.
@@ -27,7 +27,7 @@
     return count + 1 >= COMMON_CAUSE_WORKERS
 
 
-def put_down(
+def attribute(
     ledger: ledgers.Ledger,
     losses: list[workers_.Loss],
     common: bool,
@@ -66,13 +66,13 @@
             age_ms = round(row.age_s * 1000)
         doubt_ms = round(row.doubt_s * 1000)
         crash = crashes_.Crash(task.run.attempt, age_ms, doubt_ms, isolated)
-        isolation.note(ledger, task, crash, now_s)
+        isolation.record_crash(ledger, task, crash, now_s)
         if task.index in task.group.suspects:
             suspected.append(task)
     return suspected
 
 
-def is_settled(losses: list[workers_.Loss]) -> bool:
+def are_settled(losses: list[workers_.Loss]) -> bool:
     """Return whether no run lost with a worker was started recently."""
     return all(_is_settled(row) for row in losses)
 
--- a/oleanderwood/pools/entries.py
+++ b/oleanderwood/pools/entries.py
@@ -9,17 +9,17 @@
 
 from oleanderwood import errors
 from oleanderwood import ids
-from oleanderwood.pools import lives
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import reports
 
-MAX_REASON = 200
+MAX_REASON_CHARS = 200
 """Characters of a reason that are kept and logged."""
 
-MOST_REFUSED = 1000
+MAX_REFUSED = 1000
 """Refused entries whose reasons are remembered: as many as there are workers
 at the design size. Further ones are counted but not logged."""
 
-MOST_WAITING = 4000
+MAX_WAITING = 4000
 """Entries that are held until a configuration names their service: four times
 the number of workers at the design size. The oldest one is evicted first."""
 
@@ -53,11 +53,11 @@
     def __init__(self, fault: Fault, reason: str) -> None:
         super().__init__(f'{fault.value}: {reason}')
         self.fault = fault
-        self.reason = reason[:MAX_REASON]
+        self.reason = reason[:MAX_REASON_CHARS]
 
 
 @dataclasses.dataclass
-class Book:
+class UnusedEntries:
     """A leader's record of the entries that it does not use.
 
     :ivar refused: the last reason, by executor
@@ -72,7 +72,9 @@
     )
 
 
-def note_refusal(unused: Book, name: ids.ExecutorId, reason: str) -> bool:
+def record_refusal(
+    unused: UnusedEntries, name: ids.ExecutorId, reason: str
+) -> bool:
     """Record a refusal; return whether it is to be logged.
 
     An entry that is written repeatedly is logged again only when its reason
@@ -80,29 +82,29 @@
     """
     if unused.refused.get(name) == reason:
         return False
-    if name not in unused.refused and len(unused.refused) >= MOST_REFUSED:
+    if name not in unused.refused and len(unused.refused) >= MAX_REFUSED:
         return False
     unused.refused[name] = reason
     return True
 
 
-def forget(unused: Book, name: ids.ExecutorId) -> None:
+def forget(unused: UnusedEntries, name: ids.ExecutorId) -> None:
     """Forget an entry that was removed or has become valid."""
     unused.refused.pop(name, None)
     unused.waiting.pop(name, None)
 
 
-def wait(unused: Book, entry: reports.Entry) -> None:
+def hold(unused: UnusedEntries, entry: reports.Entry) -> None:
     """Hold an entry until its service is named."""
-    name = lives.executor(entry.worker)
+    name = incarnations.executor_of(entry.worker)
     unused.waiting.pop(name, None)
     unused.waiting[name] = entry
-    if len(unused.waiting) > MOST_WAITING:
+    if len(unused.waiting) > MAX_WAITING:
         del unused.waiting[next(iter(unused.waiting))]
 
 
-def keep_only(
-    unused: Book, listed: collections.abc.Collection[ids.ExecutorId]
+def forget_unlisted(
+    unused: UnusedEntries, listed: collections.abc.Collection[ids.ExecutorId]
 ) -> None:
     """Forget all entries that a complete listing does not contain."""
     for name in {*unused.refused, *unused.waiting} - set(listed):
--- a/oleanderwood/pools/fences.py
+++ b/oleanderwood/pools/fences.py
@@ -15,13 +15,13 @@
 
 from oleanderwood import ids
 
-NUMBERS = 256
+NUMBERS_PER_TERM = 256
 """Numbers in a term. A term that has used them up for one executor ends."""
 
-RESERVED = 16
+RESERVED_NUMBERS = 16
 """Numbers that are reserved for the calls of a term that is about to end."""
 
-KEPT_S = 60.0
+RETENTION_S = 60.0
 """Time in seconds for which the number of an executor that is gone is kept.
 Calls may be carried out seconds late, and an executor may return under its
 id."""
@@ -46,12 +46,12 @@
 
 def next_term(term: int) -> int:
     """Return the term that follows another."""
-    return term + NUMBERS
+    return term + NUMBERS_PER_TERM
 
 
 def make(term: int, number: int) -> ids.Fence:
     """Return the fence of a number in a term; numbers begin at 1."""
-    return ids.Fence(term - NUMBERS + number)
+    return ids.Fence(term - NUMBERS_PER_TERM + number)
 
 
 def number(fences: Fences, executor: ids.ExecutorId) -> int:
@@ -67,11 +67,11 @@
 def raise_fence(fences: Fences, executor: ids.ExecutorId) -> None:
     """Raise the fence of an executor's next order above all earlier ones."""
     last = fences.numbers.get(executor, 0)
-    fences.numbers[executor] = min(last + 1, NUMBERS)
+    fences.numbers[executor] = min(last + 1, NUMBERS_PER_TERM)
     fences.gone_s.pop(executor, None)
 
 
-def is_overtaken(
+def is_superseded(
     fences: Fences, executor: ids.ExecutorId, fence: ids.Fence
 ) -> bool:
     """Return whether its executor was issued a higher fence than an order's.
@@ -84,13 +84,13 @@
 
 def are_used_up(fences: Fences, executor: ids.ExecutorId) -> bool:
     """Return whether almost no numbers are left for an executor."""
-    return number(fences, executor) > NUMBERS - RESERVED
+    return number(fences, executor) > NUMBERS_PER_TERM - RESERVED_NUMBERS
 
 
 def forget(fences: Fences, executor: ids.ExecutorId, now_s: float) -> None:
     """Record that an executor is gone; its number is kept for a while."""
     fences.gone_s[executor] = now_s
     for other, gone_s in list(fences.gone_s.items()):
-        if now_s - gone_s > KEPT_S:
+        if now_s - gone_s > RETENTION_S:
             del fences.gone_s[other]
             fences.numbers.pop(other, None)
--- a/oleanderwood/pools/lives.py
+++ b/oleanderwood/pools/incarnations.py
@@ -14,7 +14,9 @@
 """Separates id and birth time; no id contains it, as ids are parts of keys."""
 
 
-def life(executor_id: ids.ExecutorId, born: int | None) -> ids.VmId:
+def incarnation_name(
+    executor_id: ids.ExecutorId, born: int | None
+) -> ids.VmId:
     """Return the name of an incarnation.
 
     :param born: its birth time in milliseconds since 1970; None if it is not
@@ -25,11 +27,11 @@
     return ids.VmId(f'{executor_id}{_SEPARATOR}{born}')
 
 
-def tells_birth(name: ids.VmId) -> bool:
+def has_birth_time(name: ids.VmId) -> bool:
     """Return whether the executor reports births, and so may keep its id."""
     return _SEPARATOR in name
 
 
-def executor(name: ids.VmId) -> ids.ExecutorId:
+def executor_of(name: ids.VmId) -> ids.ExecutorId:
     """Return the id of an incarnation's executor."""
     return ids.ExecutorId(name.partition(_SEPARATOR)[0])
--- a/oleanderwood/pools/late_orders.py
+++ b/oleanderwood/pools/late_orders.py
@@ -32,11 +32,11 @@
 
 
 @dataclasses.dataclass
-class Book:
+class UnansweredOrders:
     """The executors that one server calls.
 
     :ivar until_s: time from which on the order cannot arrive any more
-    :ivar untold: those that other servers have not been notified of yet
+    :ivar unreported: those that other servers have not been notified of yet
     """
 
     orders: dict[ids.ExecutorId, LateOrder] = dataclasses.field(
@@ -45,12 +45,12 @@
     until_s: dict[ids.ExecutorId, float] = dataclasses.field(
         default_factory=dict
     )
-    untold: dict[ids.ExecutorId, LateOrder] = dataclasses.field(
+    unreported: dict[ids.ExecutorId, LateOrder] = dataclasses.field(
         default_factory=dict
     )
 
 
-def take(unanswered: Book, order: LateOrder, now_s: float) -> None:
+def add(unanswered: UnansweredOrders, order: LateOrder, now_s: float) -> None:
     """Record that an executor has to be called; the highest fence is kept."""
     name = order.executor
     known = unanswered.orders.get(name)
@@ -59,28 +59,30 @@
     until_s = now_s + min(order.for_s, MAX_DELAY_S)
     unanswered.until_s[name] = max(until_s, unanswered.until_s.get(name, 0.0))
     if len(unanswered.orders) > MAX_EXECUTORS:
-        drop(
+        remove(
             unanswered,
             min(unanswered.until_s, key=unanswered.until_s.__getitem__),
         )
 
 
-def drop(unanswered: Book, executor: ids.ExecutorId) -> None:
+def remove(unanswered: UnansweredOrders, executor: ids.ExecutorId) -> None:
     """Stop calling an executor."""
     unanswered.orders.pop(executor, None)
     unanswered.until_s.pop(executor, None)
 
 
-def due(unanswered: Book, now_s: float) -> list[LateOrder]:
+def executors_to_call(
+    unanswered: UnansweredOrders, now_s: float
+) -> list[LateOrder]:
     """Return the executors to call now."""
     for executor, until_s in list(unanswered.until_s.items()):
         if now_s >= until_s:
-            drop(unanswered, executor)
+            remove(unanswered, executor)
     return list(unanswered.orders.values())
 
 
-def take_untold(unanswered: Book) -> list[LateOrder]:
+def take_unreported(unanswered: UnansweredOrders) -> list[LateOrder]:
     """Remove and return the orders not yet sent to other servers."""
-    orders = list(unanswered.untold.values())
-    unanswered.untold.clear()
+    orders = list(unanswered.unreported.values())
+    unanswered.unreported.clear()
     return orders
--- a/oleanderwood/pools/lengths.py
+++ b/oleanderwood/pools/lengths.py
@@ -67,7 +67,7 @@
     tasks: int = 0
 
 
-def note(lengths: Lengths, group: ledgers.Group, length_s: float) -> None:
+def record(lengths: Lengths, group: ledgers.Group, length_s: float) -> None:
     """Record how long a task of a step took."""
     estimate_s = group.step.guess_ms / 1000
     if estimate_s <= 0:
@@ -96,7 +96,7 @@
     stats.log_products = decay * stats.log_products + log_estimate * log_length
 
 
-def factor(lengths: Lengths, queue: str) -> float:
+def correction_factor(lengths: Lengths, queue: str) -> float:
     """Return the factor by which to multiply a queue's estimates."""
     stats = lengths.queues.get(queue)
     if stats is None:
