--- a/oleanderwood/pools/placing.py
+++ b/oleanderwood/pools/placing.py
@@ -19,7 +19,9 @@
 from oleanderwood.pools import reports
 from oleanderwood.pools import workers as workers_
 
-InTurn = collections.abc.Callable[[list[ledgers.Group]], list[ledgers.Group]]
+TenantOrder = collections.abc.Callable[
+    [list[ledgers.Group]], list[ledgers.Group]
+]
 
 MAX_LONG_RUNNING_PER_WORKER = 3
 """Long-running tasks of one step that are packed onto one worker. Packing more
@@ -55,7 +57,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Room:
+class FreeCapacity:
     """Free resources of a worker while starts are decided.
 
     :ivar batch_count: tasks on the worker that are not long-running
@@ -88,14 +90,16 @@
     )
 
 
-def rooms(pool: list[workers_.Worker], now_s: float) -> list[Room]:
+def free_capacity(
+    pool: list[workers_.Worker], now_s: float
+) -> list[FreeCapacity]:
     """Return the free resources of the workers that accept tasks."""
     found = []
     for worker in pool:
         if not workers_.accepts(worker, now_s):
             continue
         capacity = worker.entry.capacity
-        candidate = Room(
+        candidate = FreeCapacity(
             worker,
             capacity.cpu_millicores,
             capacity.memory_mb,
@@ -103,7 +107,7 @@
             reports.rack(worker.entry),
             workers_.is_suspect(worker),
         )
-        candidate.rejected_needs = workers_.refused(worker, now_s)
+        candidate.rejected_needs = workers_.recent_rejection(worker, now_s)
         for task in worker.runs.values():
             _add_task(candidate, task.group)
             candidate.has_latency_tasks = (
@@ -112,13 +116,13 @@
             )
             if task.group.suspects and isolation.is_on_probation(task):
                 candidate.reserved = True
-        for group in worker.foreign:
+        for group in worker.unmanaged:
             _subtract_needs(candidate, group)
         found.append(candidate)
     return found
 
 
-def _record_unsettled(free: list[Room], now_s: float) -> None:
+def _record_unsettled(free: list[FreeCapacity], now_s: float) -> None:
     """Set how long a task on each worker could still crash it."""
     for candidate in free:
         for task in candidate.worker.runs.values():
@@ -139,7 +143,7 @@
     :param max_starts: most starts to decide at once
     :param quotas: what teams and tenants may still start; it is charged
     """
-    free = rooms(pool, now_s)
+    free = free_capacity(pool, now_s)
     if any(group.suspects for group in groups):
         _record_unsettled(free, now_s)
     quotas = quotas or quotas_.Quotas()
@@ -189,7 +193,9 @@
     bound = step.label or step.max_per_worker or group.tickets is not None
     if bound or step.uses_leftover:
         return
-    rows = unmet.long_running_needs if step.lasting else unmet.batch_needs
+    rows = (
+        unmet.long_running_needs if step.is_long_running else unmet.batch_needs
+    )
     rows.append(step.needs)
 
 
@@ -199,14 +205,14 @@
     if step.uses_leftover:
         return False
     rows = unmet.long_running_needs
-    if not step.lasting:
+    if not step.is_long_running:
         rows = rows + unmet.batch_needs
-    return any(model.asks_as_much(step.needs, row) for row in rows)
+    return any(model.needs_at_least(step.needs, row) for row in rows)
 
 
 def _place_tasks(
     group: ledgers.Group,
-    free: list[Room],
+    free: list[FreeCapacity],
     now_s: float,
     max_starts: int,
     quotas: quotas_.Quotas,
@@ -231,7 +237,7 @@
     return placed
 
 
-def _reserve(candidate: Room, free: list[Room]) -> bool:
+def _reserve(candidate: FreeCapacity, free: list[FreeCapacity]) -> bool:
     """Reserve a worker for a suspected task; return whether it may start now.
 
     Nothing else is started on the worker until its other tasks have run long
@@ -245,7 +251,7 @@
 
 
 def _reserve_for_gang(
-    group: ledgers.Group, placed: list[Placement], free: list[Room]
+    group: ledgers.Group, placed: list[Placement], free: list[FreeCapacity]
 ) -> list[Placement]:
     """Reserve the workers of a suspected gang.
 
@@ -265,8 +271,8 @@
 
 
 def _best_candidate(
-    group: ledgers.Group, task: ledgers.Task, free: list[Room]
-) -> Room | None:
+    group: ledgers.Group, task: ledgers.Task, free: list[FreeCapacity]
+) -> FreeCapacity | None:
     fitting = [candidate for candidate in free if fits(candidate, group)]
     if not fitting:
         return None
@@ -275,7 +281,9 @@
     )
 
 
-def _preference(candidate: Room, group: ledgers.Group, task: ledgers.Task):
+def _preference(
+    candidate: FreeCapacity, group: ledgers.Group, task: ledgers.Task
+):
     """Return a worker's sort key: healthy first, near the data, then fullest.
 
     Workers are packed so that whole machines stay free to move to other
@@ -291,12 +299,12 @@
         )
     step = group.step
     near = not step.near_rack or candidate.rack == step.near_rack
-    is_long_running = step.lasting
+    is_long_running = step.is_long_running
     return (
         candidate.suspect,
         candidate.worker.entry.worker == task.failed_on,
         not near,
-        is_long_running and candidate.worker.due,
+        is_long_running and candidate.worker.maintenance_due,
         is_long_running
         and candidate.task_counts.get(group, 0) >= MAX_LONG_RUNNING_PER_WORKER,
         step.uses_leftover and candidate.has_latency_tasks,
@@ -306,7 +314,7 @@
     )
 
 
-def _leftover_shortfall(candidate: Room, group: ledgers.Group) -> int:
+def _leftover_shortfall(candidate: FreeCapacity, group: ledgers.Group) -> int:
     """Return the CPU that leftover tasks would lack after adding one more."""
     if not group.step.uses_leftover:
         return 0
@@ -319,7 +327,7 @@
     return step.needs.cpu_millicores if step.uses_leftover else 0
 
 
-def fits(candidate: Room, group: ledgers.Group) -> bool:
+def fits(candidate: FreeCapacity, group: ledgers.Group) -> bool:
     """Return whether one more task of a group may start on a worker."""
     if candidate.reserved:
         return False
@@ -332,7 +340,7 @@
         return False
     if needs.memory_mb > candidate.memory_mb or needs.gpus > candidate.gpus:
         return False
-    if candidate.rejected_needs is not None and model.asks_as_much(
+    if candidate.rejected_needs is not None and model.needs_at_least(
         needs, candidate.rejected_needs
     ):
         return False
@@ -344,26 +352,28 @@
     limit = step.max_per_worker
     if limit and candidate.task_counts.get(group, 0) >= limit:
         return False
-    if candidate.worker.slow and not step.lasting:
+    if candidate.worker.slow and not step.is_long_running:
         return False
     return not (candidate.suspect and candidate.batch_count > 0)
 
 
-def has_room(
+def has_free_capacity(
     group: ledgers.Group, pool: list[workers_.Worker], now_s: float
 ) -> bool:
     """Return whether one more task of a group may start on some worker."""
-    return any(fits(candidate, group) for candidate in rooms(pool, now_s))
+    return any(
+        fits(candidate, group) for candidate in free_capacity(pool, now_s)
+    )
 
 
-def _add_task(candidate: Room, group: ledgers.Group) -> None:
+def _add_task(candidate: FreeCapacity, group: ledgers.Group) -> None:
     _subtract_needs(candidate, group)
     candidate.leftover_demand_millicores += _leftover_demand(group)
-    candidate.batch_count += not group.step.lasting
-    candidate.long_running_count += group.step.lasting
+    candidate.batch_count += not group.step.is_long_running
+    candidate.long_running_count += group.step.is_long_running
 
 
-def _subtract_needs(candidate: Room, group: ledgers.Group) -> None:
+def _subtract_needs(candidate: FreeCapacity, group: ledgers.Group) -> None:
     """Subtract the resources of a task, which may be an unmanaged run."""
     needs = group.step.needs
     if not group.step.uses_leftover:
@@ -373,7 +383,7 @@
     candidate.task_counts[group] = candidate.task_counts.get(group, 0) + 1
 
 
-def _release(candidate: Room, group: ledgers.Group) -> None:
+def _release(candidate: FreeCapacity, group: ledgers.Group) -> None:
     needs = group.step.needs
     if not group.step.uses_leftover:
         candidate.cpu_millicores += needs.cpu_millicores
@@ -381,13 +391,13 @@
     candidate.gpus += needs.gpus
     candidate.task_counts[group] -= 1
     candidate.leftover_demand_millicores -= _leftover_demand(group)
-    candidate.batch_count -= not group.step.lasting
-    candidate.long_running_count -= group.step.lasting
+    candidate.batch_count -= not group.step.is_long_running
+    candidate.long_running_count -= group.step.is_long_running
 
 
 def _place_gang(
     group: ledgers.Group,
-    free: list[Room],
+    free: list[FreeCapacity],
     now_s: float,
     quotas: quotas_.Quotas,
 ) -> list[Placement]:
@@ -395,7 +405,7 @@
     members = [task for task in group.tasks if not task.done]
     if any(task.run is not None for task in members):
         return []
-    if group.suspects and not isolation.is_kept(group.entry):
+    if group.suspects and not isolation.are_crashes_stored(group.entry):
         return []
     if not quotas_.allows(quotas, group, len(members)):
         return []
@@ -425,8 +435,8 @@
 
 
 def candidates_by_rack(
-    group: ledgers.Group, free: list[Room]
-) -> list[list[Room]]:
+    group: ledgers.Group, free: list[FreeCapacity]
+) -> list[list[FreeCapacity]]:
     """Return the workers of each rack, preferred rack first.
 
     Empty for a gang that need not stay in one rack.
@@ -442,7 +452,7 @@
     ]
 
 
-def parted(
+def incomplete_gang_members(
     groups: collections.abc.Iterable[ledgers.Group], now_s: float
 ) -> list[ledgers.Task]:
     """Return the running members of gangs that are incomplete.
@@ -456,7 +466,7 @@
             continue
         waiting = group.waiting.values()
         if (
-            now_s - max(task.away_since_s for task in waiting)
+            now_s - max(task.not_serving_since_s for task in waiting)
             >= INCOMPLETE_GANG_S
         ):
             found += [task for task in group.tasks if task.run is not None]
@@ -464,10 +474,10 @@
 
 
 def place_all(
-    group: ledgers.Group, members: list[ledgers.Task], free: list[Room]
+    group: ledgers.Group, members: list[ledgers.Task], free: list[FreeCapacity]
 ) -> list[Placement]:
     """Place all of the given tasks or none, and subtract their resources."""
-    taken: list[Room] = []
+    taken: list[FreeCapacity] = []
     placed: list[Placement] = []
     for task in members:
         best = _best_candidate(group, task, free)
@@ -482,7 +492,7 @@
 
 
 def could_place_all(
-    group: ledgers.Group, members: list[ledgers.Task], free: list[Room]
+    group: ledgers.Group, members: list[ledgers.Task], free: list[FreeCapacity]
 ) -> bool:
     """Return whether all of the given tasks fit; subtracts no resources."""
     placed = place_all(group, members, free)
@@ -502,7 +512,7 @@
     return queue.stretch * chain_s + queue.objective_ms / 1000
 
 
-def left_s(
+def time_left_s(
     group: ledgers.Group,
     queue: queues.Queue,
     lengths: lengths_.Lengths,
@@ -518,14 +528,14 @@
     return objective_s(entry, queue, lengths) - age_s - after_s
 
 
-def hopeless(
+def is_too_late(
     entry: ledgers.Entry,
     queue: queues.Queue,
     lengths: lengths_.Lengths,
     now_s: float,
 ) -> bool:
     """Return whether a job is too late to be of use to its caller."""
-    if entry.groups[0, 0].step.lasting:
+    if entry.groups[0, 0].step.is_long_running:
         return False
     age_s = now_s - entry.arrived_s
     return age_s > LATE_FACTOR * objective_s(entry, queue, lengths)
@@ -548,10 +558,10 @@
     a burst larger than the pool, every job would be late.
     """
     entry = group.entry
-    if group.step.lasting:
+    if group.step.is_long_running:
         return (0, queue.priority, 0, entry.arrived_s, group.number)
     tier = 0
-    if entry.beyond or hopeless(entry, queue, lengths, now_s):
+    if entry.over_rate or is_too_late(entry, queue, lengths, now_s):
         tier = 2
     elif _is_late(group, queue, lengths, now_s):
         tier = 1
@@ -566,18 +576,18 @@
 ) -> bool:
     """Return whether a job would miss its objective if the step began now."""
     length_s = lengths_.of_job(lengths, group.entry)[group.number]
-    left = left_s(group, queue, lengths, now_s)
+    left = time_left_s(group, queue, lengths, now_s)
     return left < LATENESS_MARGIN * length_s
 
 
-def by_service(
+def ready_by_pool(
     ledger: ledgers.Ledger,
     known: dict[str, queues.Queue],
     lengths: lengths_.Lengths,
     wall_ms: float,
     now_s: float,
     only: set[ids.ServiceId] | None = None,
-    in_turn: InTurn = list,
+    in_turn: TenantOrder = list,
 ) -> dict[ids.ServiceId, list[ledgers.Group]]:
     """Return the groups that are ready to start, in order, by pool.
 
@@ -591,7 +601,7 @@
                 continue
         if not group.waiting or not ledgers.is_ready(group, wall_ms):
             continue
-        if is_unadvised(group, known, now_s):
+        if awaits_advice(group, known, now_s):
             continue
         queue = queue_of(group.entry, known)
         key = rank(group, queue, lengths, now_s)
@@ -614,7 +624,7 @@
     return key[:3]
 
 
-def is_unadvised(
+def awaits_advice(
     group: ledgers.Group, known: dict[str, queues.Queue], now_s: float
 ) -> bool:
     """Return whether a step has to wait for advice.
@@ -641,7 +651,7 @@
     return bool(tickets) and not any(name in present for name in tickets)
 
 
-def has_fitting_newcomer(
+def has_new_matching_worker(
     group: ledgers.Group,
     workers: collections.abc.Iterable[workers_.Worker],
     service: ids.ServiceId,
--- a/oleanderwood/pools/quotas.py
+++ b/oleanderwood/pools/quotas.py
@@ -18,7 +18,7 @@
 from oleanderwood.pools import workers as workers_
 from oleanderwood.tenants import model as tenants_
 
-STARTING = (ledgers.RunPhase.ORDERED, ledgers.RunPhase.DOUBTFUL)
+STARTING = (ledgers.RunPhase.ORDERED, ledgers.RunPhase.UNCONFIRMED)
 
 OVERSHOOT_BELOW_PART = 0.5
 """Part of its limit up to which a tenant may start a task that exceeds the
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Used:
+class Usage:
     """Resources that a tenant may have in use now.
 
     :ivar starting: tasks whose start was just decided, or that may run without
@@ -56,7 +56,7 @@
         default_factory=dict
     )
     limits: Limits = dataclasses.field(default_factory=dict)
-    used: dict[ids.TenantId, Used] = dataclasses.field(default_factory=dict)
+    used: dict[ids.TenantId, Usage] = dataclasses.field(default_factory=dict)
     workers: collections.abc.Collection[workers_.Worker] = ()
 
 
@@ -86,11 +86,11 @@
     if limits:
         for name in limits:
             running = ledger.running.get(name, ledgers.Running())
-            quotas.used[name] = Used(
+            quotas.used[name] = Usage(
                 running.cpu_millicores, running.memory_mb, running.gpus
             )
         for worker in workers:
-            for group in worker.foreign:
+            for group in worker.unmanaged:
                 _charge_tenant(quotas, group, starting=False)
         _charge_unseen(quotas, unseen)
     return quotas
@@ -111,7 +111,7 @@
     They are on workers that have not reported everything yet, so they use no
     more than these workers hold.
     """
-    asked: dict[ids.TenantId, Used] = {}
+    asked: dict[ids.TenantId, Usage] = {}
     for group in unseen.groups:
         used = quotas.used.get(group.entry.job.tenant)
         if used is None:
@@ -119,7 +119,7 @@
         needs = group.step.needs
         waiting = len(group.waiting)
         used.starting += waiting
-        row = asked.setdefault(group.entry.job.tenant, Used())
+        row = asked.setdefault(group.entry.job.tenant, Usage())
         row.memory_mb += waiting * needs.memory_mb
         row.gpus += waiting * needs.gpus
         if group.step.uses_leftover:
@@ -189,7 +189,7 @@
 
 
 def _within(
-    used: Used,
+    used: Usage,
     needs: model.Resources,
     limit: tenants_.Limit,
     tasks: int,
@@ -281,11 +281,11 @@
     """
     if not step.gang:
         return False
-    return not _within(Used(), step.needs, limit, step.tasks, 1.0)
+    return not _within(Usage(), step.needs, limit, step.tasks, 1.0)
 
 
 def _team(quotas: Quotas, group: ledgers.Group) -> ids.TeamId | None:
     """Return the team whose quota a task counts against, if any."""
-    if group.step.lasting or group.step.uses_leftover:
+    if group.step.is_long_running or group.step.uses_leftover:
         return None
     return quotas.team_of.get(group.entry.job.queue.name)
--- a/oleanderwood/pools/reports.py
+++ b/oleanderwood/pools/reports.py
@@ -12,7 +12,7 @@
     """A worker's own entry in the store.
 
     :ivar worker: one incarnation of a machine's executor, see
-        :mod:`oleanderwood.pools.lives`
+        :mod:`oleanderwood.pools.incarnations`
     :ivar labels: its kind, then its rack
     """
 
--- a/oleanderwood/pools/shares.py
+++ b/oleanderwood/pools/shares.py
@@ -41,7 +41,7 @@
     return False
 
 
-def in_turn(
+def order_by_share(
     groups: list[ledgers.Group],
     quotas: quotas_.Quotas,
     weights: Weights,
@@ -61,7 +61,7 @@
         return groups
     heap: list[tuple[float, int, ids.TenantId]] = []
     for position, tenant in enumerate(queues):
-        used = quotas.used.get(tenant, quotas_.Used())
+        used = quotas.used.get(tenant, quotas_.Usage())
         share = _dominant_share(
             used.cpu_millicores, used.memory_mb, used.gpus, whole
         ) / _weight(weights, tenant)
--- a/oleanderwood/pools/shortage.py
+++ b/oleanderwood/pools/shortage.py
@@ -15,20 +15,24 @@
 from oleanderwood.pools import workers as workers_
 
 
-def is_particular(group: ledgers.Group) -> bool:
+def has_placement_constraint(group: ledgers.Group) -> bool:
     """Return whether a step needs more than free capacity on some worker."""
     step = group.step
     return step.gang or bool(step.label) or group.tickets is not None
 
 
-def idle_rooms(
+def idle_capacity(
     pool: collections.abc.Iterable[workers_.Worker],
-) -> list[placing.Room]:
+) -> list[placing.FreeCapacity]:
     """Return the free resources of a pool's workers as if all were idle."""
-    return [_idle(worker) for worker in pool if not worker.entry.draining]
+    return [
+        _idle_capacity(worker) for worker in pool if not worker.entry.draining
+    ]
 
 
-def fits_nowhere(group: ledgers.Group, candidates: list[placing.Room]) -> bool:
+def fits_nowhere(
+    group: ledgers.Group, candidates: list[placing.FreeCapacity]
+) -> bool:
     """Return whether no worker could start a step, even if all were idle."""
     if group.step.gang:
         members = [task for task in group.tasks if not task.done]
@@ -58,18 +62,18 @@
     return min(limits, default=step.tasks)
 
 
-def _idle(worker: workers_.Worker) -> placing.Room:
+def _idle_capacity(worker: workers_.Worker) -> placing.FreeCapacity:
     """Return a worker's resources without its tasks that will end."""
     cpu = memory = gpus = lasting = 0
     for task in worker.runs.values():
         step = task.group.step
-        if step.lasting:
+        if step.is_long_running:
             lasting += 1
             cpu += step.needs.cpu_millicores
             memory += step.needs.memory_mb
             gpus += step.needs.gpus
     capacity = worker.entry.capacity
-    return placing.Room(
+    return placing.FreeCapacity(
         worker,
         capacity.cpu_millicores - cpu,
         capacity.memory_mb - memory,
--- a/oleanderwood/pools/slowness.py
+++ b/oleanderwood/pools/slowness.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass
-class Pace:
+class Speed:
     """Measured speed of one worker.
 
     :ivar ended: tasks that ended recently
@@ -63,8 +63,12 @@
     slow: bool = False
 
 
-def note_end(
-    speed: Pace, task: ledgers.Task, took_s: float, factor: float, now_s: float
+def record_end(
+    speed: Speed,
+    task: ledgers.Task,
+    took_s: float,
+    factor: float,
+    now_s: float,
 ) -> None:
     """Record a task that has ended successfully."""
     estimate_s = _estimated_s(task, factor)
@@ -78,7 +82,7 @@
 
 
 def measure(
-    speed: Pace, worker: workers_.Worker, factor_of: FactorOf, now_s: float
+    speed: Speed, worker: workers_.Worker, factor_of: FactorOf, now_s: float
 ) -> None:
     """Measure a worker again, by its runs and its recently ended tasks."""
     while speed.ended and speed.ended[0].at_s < now_s - MEMORY_S:
@@ -102,7 +106,7 @@
     run = task.run
     if (
         run is None
-        or task.group.step.lasting
+        or task.group.step.is_long_running
         or task.group.step.uses_leftover
         or run.phase is not ledgers.RunPhase.RUNNING
         or now_s - run.begun_s < MIN_RUN_S
@@ -110,10 +114,10 @@
         return None
     if run.percent <= 0:
         return now_s - run.begun_s
-    if run.moved_on_s <= run.begun_s:
+    if run.last_progress_s <= run.begun_s:
         # A new leader adopted it at this percentage; no progress since.
         return None
-    return (run.moved_on_s - run.begun_s) / run.percent * 100
+    return (run.last_progress_s - run.begun_s) / run.percent * 100
 
 
 def left_s(task: ledgers.Task, now_s: float) -> float:
@@ -126,7 +130,7 @@
     return max(0.0, total_s - (now_s - task.run.begun_s))
 
 
-def judge(speed: Pace, others: list[float]) -> None:
+def judge(speed: Speed, others: list[float]) -> None:
     """Compare a worker with the others of its pool and set whether it is slow.
 
     :param others: ratios of the other workers
@@ -138,7 +142,7 @@
     speed.slow = speed.ratio - pool_ratio >= math.log(SLOW_FACTOR)
 
 
-def to_begin_anew(
+def runs_to_restart(
     worker: workers_.Worker, factor_of: FactorOf, now_s: float
 ) -> list[ledgers.Task]:
     """Return the tasks on a slow worker that would end sooner elsewhere."""
--- a/oleanderwood/pools/stalls.py
+++ b/oleanderwood/pools/stalls.py
@@ -19,7 +19,7 @@
 """Time in seconds within which a long-running task has to be at work."""
 
 
-def stalled(worker: workers_.Worker, now_s: float) -> list[ledgers.Task]:
+def stalled_tasks(worker: workers_.Worker, now_s: float) -> list[ledgers.Task]:
     """Return the tasks whose runs on a worker have stalled."""
     return [
         task
@@ -31,11 +31,11 @@
 
 
 def _is_stalled(task: ledgers.Task, run: ledgers.Run, now_s: float) -> bool:
-    if run.pace_percent != 100 or run.moved_on_s == 0:
+    if run.pace_percent != 100 or run.last_progress_s == 0:
         return False
     no_progress_s = now_s - _last_progress_s(task, run)
-    if task.group.step.lasting:
-        return run.at_work_since_s is None and no_progress_s > STARTUP_S
+    if task.group.step.is_long_running:
+        return run.serving_since_s is None and no_progress_s > STARTUP_S
     estimate_s = task.group.step.guess_ms / 1000
     return no_progress_s > max(STALLED_S, MAX_STILL_FACTOR * estimate_s)
 
@@ -47,6 +47,6 @@
     slower ones, and stopping it would end their runs too.
     """
     if not task.group.step.gang:
-        return run.moved_on_s
+        return run.last_progress_s
     runs = [member.run for member in task.group.tasks if member.run]
-    return max(row.moved_on_s for row in runs)
+    return max(row.last_progress_s for row in runs)
--- a/oleanderwood/pools/held_back.py
+++ b/oleanderwood/pools/starvation.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class HeldBack:
+class StarvedRun:
     """A starved run that would end sooner on another worker.
 
     :ivar left_s: time it would still take on its current worker
@@ -51,21 +51,21 @@
 
 def measure(
     worker: workers_.Worker, length_of: TaskLength, now_s: float
-) -> list[HeldBack]:
+) -> list[StarvedRun]:
     """Measure the progress of a worker's runs; return the starved ones."""
     tasks = [task for task in worker.runs.values() if _is_measured(task)]
     contended = bool(tasks) and _is_contended(worker)
     found = []
     for task in tasks:
         run = task.run
-        if not contended or run.looked_at_s is None:
-            run.held_left_s = None
+        if not contended or run.sampled_at_s is None:
+            run.starved_left_s = None
             _sample(run, now_s)
-        elif now_s - run.looked_at_s >= WINDOW_S:
-            run.held_left_s = _left_s(task, length_of(task), now_s)
+        elif now_s - run.sampled_at_s >= WINDOW_S:
+            run.starved_left_s = _left_s(task, length_of(task), now_s)
             _sample(run, now_s)
-        if run.held_left_s is not None:
-            found.append(HeldBack(task, run.held_left_s))
+        if run.starved_left_s is not None:
+            found.append(StarvedRun(task, run.starved_left_s))
     return found
 
 
@@ -76,20 +76,20 @@
         run is not None
         and run.phase is ledgers.RunPhase.RUNNING
         and step.uses_leftover
-        and not step.lasting
+        and not step.is_long_running
     )
 
 
 def _sample(run: ledgers.Run, now_s: float) -> None:
-    run.looked_at_s = now_s
-    run.looked_percent = run.percent
+    run.sampled_at_s = now_s
+    run.sampled_percent = run.percent
 
 
 def _left_s(task: ledgers.Task, length_s: float, now_s: float) -> float | None:
     """Return the time a run still takes; None unless relocation is faster."""
     run = task.run
-    progress_percent = run.percent - run.looked_percent
-    rate = progress_percent / (now_s - run.looked_at_s)
+    progress_percent = run.percent - run.sampled_percent
+    rate = progress_percent / (now_s - run.sampled_at_s)
     if rate * length_s >= 100 * MIN_PROGRESS_PART:
         return None
     remaining_percent = 100 - run.percent
@@ -119,8 +119,8 @@
     return left < MIN_PROGRESS_PART * asked
 
 
-def to_leave(
-    rows: collections.abc.Sequence[HeldBack],
+def runs_to_relocate(
+    rows: collections.abc.Sequence[StarvedRun],
     others: list[workers_.Worker],
     now_s: float,
 ) -> list[ledgers.Task]:
@@ -133,7 +133,7 @@
     """
     free = [
         candidate
-        for candidate in placing.rooms(others, now_s)
+        for candidate in placing.free_capacity(others, now_s)
         if not candidate.has_latency_tasks and not candidate.suspect
     ]
     leaving: list[ledgers.Task] = []
@@ -153,7 +153,9 @@
 
 
 def _reserve(
-    group: ledgers.Group, tasks: list[ledgers.Task], free: list[placing.Room]
+    group: ledgers.Group,
+    tasks: list[ledgers.Task],
+    free: list[placing.FreeCapacity],
 ) -> bool:
     """Reserve capacity for some tasks of a step; return whether they fit.
 
--- a/oleanderwood/pools/workers.py
+++ b/oleanderwood/pools/workers.py
@@ -22,7 +22,7 @@
 """Time after which a stop is ordered again while its run is still listed. A
 stop takes 0.2 s."""
 
-REFUSED_S = 1.5
+REJECTION_MEMORY_S = 1.5
 """Time for which a rejection for lack of resources is remembered: one
 heartbeat, within which the worker's entry reports its reduced capacity."""
 
@@ -48,43 +48,43 @@
     """State of one worker as its leader knows it.
 
     :ivar listed: its entry is in the store and is usable
-    :ivar rostered: the stored list of workers is known to name it at
+    :ivar is_in_stored_list: the stored list of workers is known to name it at
         its current place
     :ivar fenced: it has answered under this term, so it refuses orders of
         earlier terms
-    :ivar heard: it has reported all its runs and ends under this term
+    :ivar has_reported: it has reported all its runs and ends under this term
     :ivar silent_since_s: when calls to it began to fail; None: it answers
     :ivar silent_after_s: earliest time at which it may have become unreachable
     :ivar gone: proven: nothing runs on it any more, nor will
     :ivar own_clock_ms, clock_at_s: its clock, and when that was read
     :ivar lease_end_s: time by which any lease that it may hold has ended
     :ivar seen_end: number of the last end that was processed
-    :ivar kept_end: number of the last end that is stored
-    :ivar due: its machine is due for maintenance
+    :ivar stored_end: number of the last end that is stored
+    :ivar maintenance_due: its machine is due for maintenance
     :ivar closed: accepts no tasks, as its machine is about to go down or move
-    :ivar emptying: accepts no tasks, as another pool needs its machine
-    :ivar refused: smallest request that it recently rejected for lack
-        of resources; valid until ``refused_until_s``
+    :ivar is_reclaimed: accepts no tasks, as another pool needs its machine
+    :ivar rejected_needs: smallest request that it recently rejected for lack
+        of resources; valid until ``rejected_until_s``
     :ivar failures: failed runs since the last successful one
     :ivar stalled: stalled runs since the last successful one
     :ivar slow: it is several times slower than its pool
     :ivar orphan_stops_s: when each orphaned run was last ordered to stop
-    :ivar foreign: steps of unmanaged runs that it lists; they use resources
+    :ivar unmanaged: steps of unmanaged runs that it lists; they use resources
         until they have been stopped
-    :ivar crowded: it lists a run whose needs are unknown
-    :ivar doubtful: runs whose start order got no answer and that the
+    :ivar has_unknown_runs: it lists a run whose needs are unknown
+    :ivar unconfirmed_runs: runs whose start order got no answer and that the
         worker has not listed. They may begin late, in this or the next
         incarnation of the executor
     :ivar provisional: added when it answered a call meant for an earlier
         incarnation; its pool is not certain until its own entry is read
-    :ivar met_s: when it was first contacted
+    :ivar first_contact_s: when it was first contacted
     """
 
     entry: reports.Entry
     listed: bool = True
-    rostered: bool = False
+    is_in_stored_list: bool = False
     fenced: bool = False
-    heard: bool = False
+    has_reported: bool = False
     silent_since_s: float | None = None
     silent_after_s: float = 0.0
     gone: bool = False
@@ -92,13 +92,13 @@
     clock_at_s: float = 0.0
     lease_end_s: float = 0.0
     seen_end: int = 0
-    kept_end: int = 0
-    due: bool = False
+    stored_end: int = 0
+    maintenance_due: bool = False
     closed: bool = False
-    emptying: bool = False
+    is_reclaimed: bool = False
     unhealthy_until_s: float = 0.0
-    refused: model.Resources | None = None
-    refused_until_s: float = 0.0
+    rejected_needs: model.Resources | None = None
+    rejected_until_s: float = 0.0
     failures: int = 0
     failed_tasks: set[str] = dataclasses.field(default_factory=set)
     stalled: int = 0
@@ -109,12 +109,14 @@
     orphan_stops_s: dict[RunName, float] = dataclasses.field(
         default_factory=dict
     )
-    foreign: list[ledgers.Group] = dataclasses.field(default_factory=list)
-    crowded: bool = False
-    doubtful: dict[RunName, None] = dataclasses.field(default_factory=dict)
+    unmanaged: list[ledgers.Group] = dataclasses.field(default_factory=list)
+    has_unknown_runs: bool = False
+    unconfirmed_runs: dict[RunName, None] = dataclasses.field(
+        default_factory=dict
+    )
     provisional: bool = False
     idle_since_s: float = 0.0
-    met_s: float = 0.0
+    first_contact_s: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -148,20 +150,22 @@
     """Actions that follow from a report.
 
     :ivar stops: runs to stop on this worker
-    :ivar elsewhere: tasks whose run on another worker is to be stopped:
+    :ivar stop_elsewhere: tasks whose run on another worker is to be stopped:
         they are done, or this worker reports a second run
     :ivar lengths: tasks that are done, and how long they took in seconds
     :ivar changed: whether tasks became ready or resources were freed
-    :ivar notes: events for the log
+    :ivar events: events for the log
     """
 
     stops: list[RunName] = dataclasses.field(default_factory=list)
-    elsewhere: list[ledgers.Task] = dataclasses.field(default_factory=list)
+    stop_elsewhere: list[ledgers.Task] = dataclasses.field(
+        default_factory=list
+    )
     lengths: list[tuple[ledgers.Task, float]] = dataclasses.field(
         default_factory=list
     )
     changed: bool = False
-    notes: list[RunEvent] = dataclasses.field(default_factory=list)
+    events: list[RunEvent] = dataclasses.field(default_factory=list)
 
 
 def clock_now_ms(worker: Worker, now_s: float) -> float:
@@ -169,23 +173,25 @@
     return worker.own_clock_ms + (now_s - worker.clock_at_s) * 1000
 
 
-def note_lease(worker: Worker, lease_end_clock_ms: float) -> None:
+def record_lease(worker: Worker, lease_end_clock_ms: float) -> None:
     """Record that the worker may get a lease up to a time of its clock."""
     left_s = (lease_end_clock_ms - worker.own_clock_ms) / 1000
     end_s = worker.clock_at_s + left_s / SLOW_CLOCK_RATE
     worker.lease_end_s = max(worker.lease_end_s, end_s)
 
 
-def note_answer(worker: Worker, report: reports.Report, now_s: float) -> None:
+def record_answer(
+    worker: Worker, report: reports.Report, now_s: float
+) -> None:
     """Record that the worker answered under this term."""
     worker.fenced = True
-    worker.heard = worker.heard or report.whole
+    worker.has_reported = worker.has_reported or report.whole
     worker.silent_since_s = None
     worker.own_clock_ms = report.own_clock_ms
     worker.clock_at_s = now_s
 
 
-def take_report(
+def process_report(
     ledger: ledgers.Ledger,
     worker: Worker,
     report: reports.Report,
@@ -200,7 +206,7 @@
     """
     outcome = Outcome()
     for row in [*report.ended, *report.running]:
-        worker.doubtful.pop(RunName(row.task, row.attempt), None)
+        worker.unconfirmed_runs.pop(RunName(row.task, row.attempt), None)
     for row in report.ended:
         if row.number > worker.seen_end:
             worker.seen_end = row.number
@@ -221,22 +227,22 @@
 
 def _record_unmanaged(ledger, worker, report) -> None:
     """Record the worker's runs that this leader does not manage."""
-    worker.foreign = []
-    worker.crowded = False
+    worker.unmanaged = []
+    worker.has_unknown_runs = False
     for row in report.running:
         task = ledgers.find(ledger, row.task)
         if task is None:
-            worker.crowded = True
+            worker.has_unknown_runs = True
         elif not is_current(worker, task, row.attempt):
-            worker.foreign.append(task.group)
+            worker.unmanaged.append(task.group)
 
 
 def _apply_end(ledger, worker, row, now_s, most_attempts, outcome) -> None:
     outcome.changed = True
-    outcome.notes.append(RunEvent(row.how.value, row.task, row.attempt))
+    outcome.events.append(RunEvent(row.how.value, row.task, row.attempt))
     task = ledgers.find(ledger, row.task)
     if task is None:
-        outcome.notes.append(
+        outcome.events.append(
             RunEvent(
                 'stray-end', row.task, row.attempt, 'its job is not known'
             )
@@ -280,7 +286,7 @@
     if run is None:
         return
     if run.worker != worker.entry.worker or run.attempt != attempt:
-        outcome.elsewhere.append(task)
+        outcome.stop_elsewhere.append(task)
 
 
 def is_current(worker: Worker, task: ledgers.Task, attempt: int) -> bool:
@@ -304,7 +310,7 @@
     worker.runs.pop(task.name, None)
     if not worker.runs:
         worker.idle_since_s = now_s
-    ledgers.over(ledger, task, now_s, checkpoint)
+    ledgers.end_run(ledger, task, now_s, checkpoint)
 
 
 def _apply_running(ledger, worker, row, sent_s, now_s, outcome) -> None:
@@ -317,15 +323,15 @@
     if is_current(worker, task, row.attempt):
         run = task.run
         run.seen = True
-        if isolation.note_going_on(task, sent_s - run.begun_s):
+        if isolation.update_probation(task, sent_s - run.begun_s):
             outcome.changed = True
-            outcome.notes.append(RunEvent('trusted', row.task, row.attempt))
+            outcome.events.append(RunEvent('trusted', row.task, row.attempt))
         if run.phase in (
             ledgers.RunPhase.ORDERED,
-            ledgers.RunPhase.DOUBTFUL,
+            ledgers.RunPhase.UNCONFIRMED,
         ):
             ledgers.set_phase(run, ledgers.RunPhase.RUNNING, now_s)
-            run.moved_on_s = now_s
+            run.last_progress_s = now_s
         ledgers.apply_report(task, row, now_s)
         if is_established(task, now_s):
             isolation.clear(task)
@@ -336,20 +342,20 @@
             ledgers.set_phase(run, run.phase, now_s)
             outcome.stops.append(RunName(row.task, row.attempt))
         return
-    if row.attempt <= task.over_attempt:
+    if row.attempt <= task.last_ended_attempt:
         _stop_orphan(worker, row, now_s, outcome, 'over')
         return
     if task.run is not None and row.attempt <= task.run.attempt:
         _stop_orphan(worker, row, now_s, outcome, 'older')
         return
     if task.run is not None:
-        outcome.elsewhere.append(task)
+        outcome.stop_elsewhere.append(task)
         _stop_orphan(worker, row, now_s, outcome, 'second')
         return
     ledgers.adopt(ledger, task, worker.entry.worker, row.attempt, now_s)
     worker.runs[task.name] = task
     ledgers.apply_report(task, row, now_s)
-    outcome.notes.append(RunEvent('adopted', row.task, row.attempt))
+    outcome.events.append(RunEvent('adopted', row.task, row.attempt))
 
 
 def is_established(task: ledgers.Task, now_s: float) -> bool:
@@ -358,9 +364,9 @@
     Such a task is not blamed for a crash: every worker crashes at some time,
     and over a long run several may.
     """
-    if not task.group.step.lasting:
+    if not task.group.step.is_long_running:
         return False
-    since_s = task.run.at_work_since_s
+    since_s = task.run.serving_since_s
     return since_s is not None and now_s - since_s >= MIN_AT_WORK_S
 
 
@@ -370,7 +376,7 @@
         return 'its job is not known'
     if task.done:
         return 'its task is done'
-    if ledgers.final(task.group.entry):
+    if ledgers.is_final(task.group.entry):
         return 'its job has ended'
     return ''
 
@@ -381,7 +387,7 @@
         return
     worker.orphan_stops_s[key] = now_s
     outcome.stops.append(key)
-    outcome.notes.append(RunEvent('stray', row.task, row.attempt, why))
+    outcome.events.append(RunEvent('stray', row.task, row.attempt, why))
 
 
 def _apply_absence(ledger, worker, task, sent_s, now_s, outcome) -> None:
@@ -389,7 +395,7 @@
     run = task.run
     if run.phase is ledgers.RunPhase.STOPPING:
         if run.stop_answered_s is not None and sent_s >= run.stop_answered_s:
-            outcome.notes.append(RunEvent('settled', task.name, run.attempt))
+            outcome.events.append(RunEvent('settled', task.name, run.attempt))
             outcome.changed = True
             end_run(ledger, worker, task, now_s)
         elif now_s - run.phase_since_s > STOP_REPEAT_S:
@@ -402,10 +408,10 @@
     ledgers.set_phase(run, ledgers.RunPhase.STOPPING, now_s)
     run.stop_answered_s = None
     outcome.stops.append(RunName(task.name, run.attempt))
-    outcome.notes.append(RunEvent('absent', task.name, run.attempt))
+    outcome.events.append(RunEvent('absent', task.name, run.attempt))
 
 
-def succeed(
+def transfer_runs(
     ledger: ledgers.Ledger,
     previous: Worker,
     worker: Worker,
@@ -424,7 +430,7 @@
     """
     rows = [*report.running, *report.ended]
     listed = {RunName(row.task, row.attempt) for row in rows}
-    to_refuse = dict(previous.doubtful)
+    to_refuse = dict(previous.unconfirmed_runs)
     for task in list(previous.runs.values()):
         run = task.run
         if run is None or run.worker != previous.entry.worker:
@@ -437,17 +443,17 @@
         run.worker = worker.entry.worker
         worker.runs[task.name] = task
         if name not in listed:
-            worker.doubtful[name] = None
+            worker.unconfirmed_runs[name] = None
         if run.phase is ledgers.RunPhase.STOPPING:
             # Only the earlier incarnation may have taken that stop.
             run.stop_answered_s = None
             to_refuse[name] = None
     previous.runs.clear()
-    worker.doubtful.update(to_refuse)
+    worker.unconfirmed_runs.update(to_refuse)
     return [name for name in to_refuse if name not in listed]
 
 
-def note_losses(worker: Worker, now_s: float) -> list[Loss]:
+def record_losses(worker: Worker, now_s: float) -> list[Loss]:
     """Record which runs are lost with a worker that is gone."""
     gone_s, after_s = now_s, worker.clock_at_s
     if worker.silent_since_s is not None:
@@ -466,7 +472,7 @@
     return losses
 
 
-def lost(
+def end_all_runs(
     ledger: ledgers.Ledger, worker: Worker, now_s: float
 ) -> list[ledgers.Task]:
     """Record that all runs on a worker are over; return their tasks."""
@@ -479,28 +485,30 @@
     return tasks
 
 
-def note_no_room(worker: Worker, needs: model.Resources, now_s: float) -> None:
+def record_rejection(
+    worker: Worker, needs: model.Resources, now_s: float
+) -> None:
     """Record that a worker rejected a request that should have fitted.
 
     Its capacity has shrunk, and its entry does not show that yet.
     """
-    worker.refused = needs
-    worker.refused_until_s = now_s + REFUSED_S
+    worker.rejected_needs = needs
+    worker.rejected_until_s = now_s + REJECTION_MEMORY_S
 
 
-def refused(worker: Worker, now_s: float) -> model.Resources | None:
+def recent_rejection(worker: Worker, now_s: float) -> model.Resources | None:
     """Return the smallest recently rejected request, if any."""
-    return worker.refused if now_s < worker.refused_until_s else None
+    return worker.rejected_needs if now_s < worker.rejected_until_s else None
 
 
-def used(worker: Worker) -> model.Resources:
+def used_resources(worker: Worker) -> model.Resources:
     """Return the resources that the runs on a worker use.
 
     The CPU of runs that use leftover capacity does not count.
     """
     cpu = memory = gpus = 0
     groups = [task.group for task in worker.runs.values()]
-    for group in groups + worker.foreign:
+    for group in groups + worker.unmanaged:
         needs = group.step.needs
         if not group.step.uses_leftover:
             cpu += needs.cpu_millicores
@@ -521,8 +529,8 @@
         and worker.listed
         and not worker.gone
         and not worker.closed
-        and not worker.emptying
-        and not worker.crowded
+        and not worker.is_reclaimed
+        and not worker.has_unknown_runs
         and worker.silent_since_s is None
         and not worker.entry.draining
         and now_s >= worker.unhealthy_until_s
--- a/oleanderwood/server.py
+++ b/oleanderwood/server.py
@@ -16,15 +16,15 @@
 from oleanderwood import daemon
 from oleanderwood import errors
 from oleanderwood import event_log
-from oleanderwood.frontend import asking as askings
 from oleanderwood.frontend import forwarding
 from oleanderwood.frontend import freshness
 from oleanderwood.frontend import handler as handlers
 from oleanderwood.frontend import intake as intakes
+from oleanderwood.frontend import peer_client as peer_clients
 from oleanderwood import ids
 from oleanderwood.jobs import model
 from oleanderwood.jobs import queues
-from oleanderwood.leading import confirming
+from oleanderwood.leading import confirmation
 from oleanderwood.leading import election
 from oleanderwood.leading import intake as leading_intake
 from oleanderwood.leading import late_orders
@@ -86,27 +86,27 @@
 
 def make_frontend(server: states.Server) -> handlers.Frontend:
     """Make what callers' requests are answered from."""
-    asking = askings.Asking(server)
+    client = peer_clients.PeerClient(server)
 
     async def written(jobs: list[model.Job]) -> None:
-        await askings.tell_jobs(asking, jobs)
+        await peer_clients.notify_jobs(client, jobs)
 
     def lost() -> bool:
-        return forwarding.store_lost(server)
+        return forwarding.is_store_lost(server)
 
     intake = intakes.Intake(server.store, server.roles, written, lost)
-    return handlers.Frontend(server, intake, asking)
+    return handlers.Frontend(server, intake, client)
 
 
 def make_parts(server: states.Server, frontend: handlers.Frontend) -> list:
     """Give what a server does beside listening and leading."""
     return [
-        intakes.write_always(frontend.intake),
+        intakes.write_forever(frontend.intake),
         _follow_configuration(server),
         _follow_roles(server),
-        lease.keep_always(server),
-        late_orders.ask_always(server),
-        late_orders.tell_always(server),
+        lease.hold_always(server),
+        late_orders.probe_always(server),
+        late_orders.notify_always(server),
     ]
 
 
@@ -194,7 +194,7 @@
             return http.Response(503, [], b'stopping\n')
         if server.configuration is None:
             return http.Response(503, [], b'no configuration yet\n')
-        if forwarding.store_lost(server):
+        if forwarding.is_store_lost(server):
             return http.Response(503, [], b'the store is lost\n')
         return http.Response(200, [], b'ready\n')
 
@@ -219,30 +219,32 @@
             return await api.handle(server, request)
         if path == late_orders.PATH:
             body = await http.read_all(request.body, MAX_TOLD_BYTES)
-            await late_orders.take_told(server, body)
+            await late_orders.receive(server, body)
             return http.Response(200, [], b'')
-        if path.startswith(confirming.PATH):
-            return _json(await confirming.contact(server, path))
+        if path.startswith(confirmation.CONTACT_PATH):
+            return _json(await confirmation.answer_contact(server, path))
         if path == forwarding.CALL_PATH:
             body = await http.read_all(request.body, MAX_TOLD_BYTES)
-            return _json(await handlers.take_call(frontend, body))
+            return _json(await handlers.handle_forwarded_call(frontend, body))
         if path == forwarding.JOB_PATH:
             body = await http.read_all(request.body, MAX_TOLD_BYTES)
             return _json(
-                await forwarding.take_job(server, frontend.intake, body)
+                await forwarding.handle_job(server, frontend.intake, body)
             )
         if path.startswith(forwarding.CANCEL_PATH):
             job = ids.JobId(path.removeprefix(forwarding.CANCEL_PATH))
             tenant = ids.TenantId(
                 (await http.read_all(request.body, MAX_TOLD_BYTES)).decode()
             )
-            return _json(await forwarding.take_cancel(server, job, tenant))
-        if path == askings.JOBS_PATH:
+            return _json(await forwarding.handle_cancel(server, job, tenant))
+        if path == peer_clients.JOBS_PATH:
             return await _told_jobs(server, request)
-        if path.startswith(askings.CANCELLED_PATH):
-            job = ids.JobId(path.removeprefix(askings.CANCELLED_PATH))
+        if path.startswith(peer_clients.CANCELLED_PATH):
+            job = ids.JobId(path.removeprefix(peer_clients.CANCELLED_PATH))
             return await _told_cancel(server, job)
-        if path.startswith((askings.STATE_PATH, askings.PENDING_PATH)):
+        if path.startswith(
+            (peer_clients.STATE_PATH, peer_clients.PENDING_PATH)
+        ):
             return _tell(server, path)
         return await probes(request)
 
@@ -257,7 +259,7 @@
     if leader is None or leader.deposed:
         return http.Response(409, [], b'does not lead\n')
     jobs = msgspec.json.decode(body, type=list[model.Job])
-    await leading_intake.take_jobs(leader, jobs)
+    await leading_intake.add_jobs(leader, jobs)
     return http.Response(200, [], b'')
 
 
@@ -266,7 +268,7 @@
     if leader is None or leader.deposed:
         return http.Response(409, [], b'does not lead\n')
     leading_intake.cancel(leader, job)
-    await leading_intake.after_intake(leader)
+    await leading_intake.wake_after_intake(leader)
     return http.Response(200, [], b'')
 
 
@@ -274,11 +276,11 @@
     leader = server.leader
     if leader is None or leader.deposed:
         return http.Response(409, [], b'does not lead\n')
-    if path.startswith(askings.STATE_PATH):
-        job = ids.JobId(path.removeprefix(askings.STATE_PATH))
-        return _json(askings.tell_state(leader, job))
-    queue = urllib.parse.unquote(path.removeprefix(askings.PENDING_PATH))
-    return _json(askings.tell_pending(leader, queue))
+    if path.startswith(peer_clients.STATE_PATH):
+        job = ids.JobId(path.removeprefix(peer_clients.STATE_PATH))
+        return _json(peer_clients.answer_state(leader, job))
+    queue = urllib.parse.unquote(path.removeprefix(peer_clients.PENDING_PATH))
+    return _json(peer_clients.answer_pending(leader, queue))
 
 
 def _json(value: msgspec.Struct) -> http.Response:
@@ -293,14 +295,14 @@
     async def note(sent_s: float) -> None:
         await lease.note_contact(server, sent_s)
         if server.configuration_readable:
-            freshness.note_reading(server, sent_s)
+            freshness.record_reading(server, sent_s)
 
     await watcher.follow(
         server.store,
         operator.CONFIGURATION_KEY,
-        term.WATCH_S,
+        term.WATCH_TIMEOUT_S,
         take,
-        watcher.Contact(note, server.store_back),
+        watcher.StoreContact(note, server.store_back),
     )
 
 
@@ -322,7 +324,7 @@
     before = server.configuration
     server.configuration = configuration
     server.configuration_revision = item.revision
-    taken_keys = access.note_change(
+    taken_keys = access.record_revocations(
         server.revoked,
         before.tenants if before is not None else None,
         configuration.tenants,
@@ -357,28 +359,30 @@
 
     async def take(items: list[stores.Item], whole: bool) -> None:
         if whole:
-            roles_.clear(roles, clock.now_s())
+            roles_.reset(roles, clock.now_s())
         for item in items:
             if item.removed:
-                roles_.drop(roles, item.key, item.revision, clock.now_s())
+                roles_.apply_removal(
+                    roles, item.key, item.revision, clock.now_s()
+                )
                 continue
             try:
-                roles_.take(
+                roles_.apply_value(
                     roles, item.key, item.value, item.revision, item.lease
                 )
             except (msgspec.MsgspecError, UnicodeDecodeError) as error:
                 event_log.emit(
                     'roles', 'malformed', key=item.key, why=str(error)
                 )
-        roles.known = True
+        roles.is_loaded = True
         await server.roles_changed.set()
 
     await watcher.follow(
         server.store,
         roles_.PREFIX,
-        term.WATCH_S,
+        term.WATCH_TIMEOUT_S,
         take,
-        lease.contact(server),
+        lease.store_contact(server),
     )
 
 
--- a/oleanderwood/tenants/access.py
+++ b/oleanderwood/tenants/access.py
@@ -6,7 +6,7 @@
 from oleanderwood.tenants import credentials
 from oleanderwood.tenants import model
 
-NOBODY = ids.TenantId('')
+NO_TENANT = ids.TenantId('')
 """Stands for the tenant of callers without a key, and of their jobs."""
 
 MAX_REVOKED = 10_000
@@ -23,7 +23,7 @@
     """
 
     reason: credentials.Denial
-    tenant: ids.TenantId = NOBODY
+    tenant: ids.TenantId = NO_TENANT
     version: int = 0
 
 
@@ -40,7 +40,7 @@
     )
 
 
-def judge(
+def authenticate(
     tenants: model.Tenants | None,
     public: bool,
     presented: ids.KeyDigest | credentials.Denial,
@@ -56,10 +56,10 @@
     :param presented: digest of the request's key, or why it has none
     """
     if tenants is None:
-        return NOBODY
+        return NO_TENANT
     if isinstance(presented, credentials.Denial):
         if public and presented is credentials.Denial.NO_KEY:
-            return NOBODY
+            return NO_TENANT
         return Denied(presented)
     owner = tenants.by_key.get(presented)
     if owner is not None:
@@ -70,15 +70,15 @@
     return Denied(credentials.Denial.UNKNOWN)
 
 
-def may_touch(owner: ids.TenantId, tenant: ids.TenantId) -> bool:
+def may_access(owner: ids.TenantId, tenant: ids.TenantId) -> bool:
     """Return whether a tenant may read, cancel or resubmit an owner's job.
 
     Jobs without a tenant are open to all callers of their queue.
     """
-    return owner in (NOBODY, tenant)
+    return owner in (NO_TENANT, tenant)
 
 
-def note_change(
+def record_revocations(
     revoked: Revoked,
     before: model.Tenants | None,
     after: model.Tenants | None,
--- a/oleanderwood/tenants/model.py
+++ b/oleanderwood/tenants/model.py
@@ -45,14 +45,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Row:
+class TenantEntry:
     """One well-formed tenant entry of a configuration, with its keys."""
 
     tenant: Tenant
     keys: tuple[ids.KeyDigest, ...]
 
 
-def collect(rows: list[Row], faults: list[str]) -> Tenants:
+def collect(rows: list[TenantEntry], faults: list[str]) -> Tenants:
     """Combine the tenant entries of a configuration.
 
     A key that two tenants list is invalid, since its owner is ambiguous.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,12 +23,12 @@
         'test_due',
         'test_http',
         'test_http_server',
+        'test_lossy_calls',
         'test_many_idle',
         'test_overload',
         'test_slow_links',
         'test_slow_readers',
         'test_soak',
-        'test_wary',
     )
 )
 """Modules on real sockets, signals or processes; one process passes them, so
--- a/tests/test_adopted_stalls.py
+++ b/tests/test_adopted_stalls.py
@@ -18,15 +18,15 @@
 
 @pytest.mark.parametrize('lasting', [False, True])
 def test_adopted_run_without_progress_has_stalled(lasting):
-    step = build.step(guess_ms=1000.0, lasting=lasting)
+    step = build.step(guess_ms=1000.0, is_long_running=lasting)
     ledger = build.ledger_with(build.job(step), term=2, inherited=True)
     task = build.task(ledger)
     worker = build.worker()
     for second in range(1, 21):
         report = build.report(running=[(task.name, 1, 50.0)])
         now_s = float(second)
-        workers_.note_answer(worker, report, now_s)
+        workers_.record_answer(worker, report, now_s)
         build.take(ledger, worker, report, now_s, now_s)
         assert not pacing.decide(worker)
     assert task.run is not None and task.run.attempt == 1
-    assert stalls.stalled(worker, 21.0) == [task]
+    assert stalls.stalled_tasks(worker, 21.0) == [task]
--- a/tests/test_adopted_standstill.py
+++ b/tests/test_adopted_standstill.py
@@ -23,14 +23,14 @@
     ledger = build.ledger_with(build.job(step), term=2, inherited=True)
     task = build.task(ledger)
     worker = build.worker()
-    speed = slowness.Pace()
+    speed = slowness.Speed()
     for tenth in range(50):
         now_s = 1.0 + tenth / 10
         report = build.report(running=[(task.name, 1, 30.0)])
-        workers_.note_answer(worker, report, now_s)
+        workers_.record_answer(worker, report, now_s)
         build.take(ledger, worker, report, now_s, now_s)
         slowness.measure(speed, worker, lambda entry: 1.0, now_s)
-        assert not slowness.to_begin_anew(worker, lambda entry: 1.0, now_s)
+        assert not slowness.runs_to_restart(worker, lambda entry: 1.0, now_s)
     assert task.run is not None
 
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -7,27 +7,27 @@
 
 
 def test_work_with_time_to_spare_needs_fewer_cores():
-    urgent = backlog.Waiting(cores=100.0, length_s=2.0, left_s=2.0)
-    deferrable = backlog.Waiting(cores=100.0, length_s=2.0, left_s=8.0)
+    urgent = backlog.WaitingTasks(cores=100.0, length_s=2.0, left_s=2.0)
+    deferrable = backlog.WaitingTasks(cores=100.0, length_s=2.0, left_s=8.0)
     assert backlog.required_cores([urgent]) == 100.0
     assert backlog.required_cores([deferrable]) == 25.0
 
 
 def test_the_deadline_that_needs_most_cores_decides():
     rows = [
-        backlog.Waiting(cores=60.0, length_s=2.0, left_s=2.0),
-        backlog.Waiting(cores=60.0, length_s=2.0, left_s=8.0),
+        backlog.WaitingTasks(cores=60.0, length_s=2.0, left_s=2.0),
+        backlog.WaitingTasks(cores=60.0, length_s=2.0, left_s=8.0),
     ]
     assert backlog.required_cores(rows) == 60.0
 
 
 def test_late_work_asks_for_no_more_than_it_can_use():
-    late = backlog.Waiting(cores=80.0, length_s=3.0, left_s=-4.0)
+    late = backlog.WaitingTasks(cores=80.0, length_s=3.0, left_s=-4.0)
     assert backlog.required_cores([late]) == 80.0
 
 
 def test_short_work_counts_by_the_time_machines_take_to_come():
-    row = backlog.Waiting(cores=90.0, length_s=0.5, left_s=0.4)
+    row = backlog.WaitingTasks(cores=90.0, length_s=0.5, left_s=0.4)
     assert backlog.required_cores([row]) == 90.0 * 0.5 / backlog.MIN_LEFT_S
 
 
@@ -37,7 +37,7 @@
 
 ROWS = strategies.lists(
     strategies.builds(
-        backlog.Waiting,
+        backlog.WaitingTasks,
         strategies.floats(0.0, 500.0),
         strategies.floats(0.1, 10.0),
         strategies.floats(-10.0, 20.0),
--- a/tests/test_crash_defects.py
+++ b/tests/test_crash_defects.py
@@ -27,7 +27,7 @@
 
     async def story(scene):
         step = utils_crashes.crashing_step(crashing.crash(0.3))
-        await build.hand_in(scene, build.leader(scene), step)
+        await build.submit_job(scene, build.leader(scene), step)
         for number in range(1, KILLS + 1):
             while utils_crashes.crashes(scene) < number:
                 await curio.sleep(0.02)
@@ -66,7 +66,7 @@
 
 
 def _counts_twice(patch):
-    real = isolation.note
+    real = isolation.record_crash
 
     def note(ledger, task, crash, now_s):
         again = crashes_.Crash(
@@ -75,25 +75,25 @@
         real(ledger, task, crash, now_s)
         real(ledger, task, again, now_s)
 
-    patch.setattr(isolation, 'note', note)
+    patch.setattr(isolation, 'record_crash', note)
 
 
 def _blames_bystanders(patch):
-    real = blame.put_down
+    real = blame.attribute
 
     def put_down(ledger, losses, common, now_s):
         suspected = real(ledger, losses, common, now_s)
         for row in losses:
             run = row.task.run
             crash = crashes_.Crash(run.attempt, 0, 0, True)
-            isolation.note(ledger, row.task, crash, now_s)
+            isolation.record_crash(ledger, row.task, crash, now_s)
         return suspected
 
-    patch.setattr(blame, 'put_down', put_down)
+    patch.setattr(blame, 'attribute', put_down)
 
 
 def _never_gives_up(patch):
-    patch.setattr(crashes_, 'is_guilty', lambda crashes: False)
+    patch.setattr(crashes_, 'is_conclusive', lambda crashes: False)
 
 
 def _shows(rule):
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -82,20 +82,20 @@
 
 @pytest.mark.parametrize('name', GUILTY)
 def test_task_is_given_up(name):
-    assert crashes_.is_guilty(GUILTY[name])
-    assert not crashes_.is_guilty(GUILTY[name][:-1])
+    assert crashes_.is_conclusive(GUILTY[name])
+    assert not crashes_.is_conclusive(GUILTY[name][:-1])
 
 
 @pytest.mark.parametrize('name', NOT_GUILTY)
 def test_task_is_not_given_up(name):
-    assert not crashes_.is_guilty(NOT_GUILTY[name])
+    assert not crashes_.is_conclusive(NOT_GUILTY[name])
 
 
 def test_no_task_is_started_a_third_time_after_three_crashes():
     """Two more, isolated ones suffice even if no age is known."""
     beside = [_crash(attempt, -1) for attempt in (1, 2, 3)]
     isolated = [_crash(attempt, -1, True) for attempt in (4, 5)]
-    assert crashes_.is_guilty([*beside, *isolated])
+    assert crashes_.is_conclusive([*beside, *isolated])
 
 
 def _worker_that_crashes(count, ages_s, crashed_s=10.0):
@@ -111,9 +111,9 @@
 
 
 def _crash_worker(ledger, worker, common=False, now_s=10.2):
-    losses = workers_.note_losses(worker, now_s)
-    suspected = blame.put_down(ledger, losses, common, now_s)
-    workers_.lost(ledger, worker, now_s)
+    losses = workers_.record_losses(worker, now_s)
+    suspected = blame.attribute(ledger, losses, common, now_s)
+    workers_.end_all_runs(ledger, worker, now_s)
     return suspected
 
 
@@ -126,16 +126,16 @@
 def test_no_task_is_suspected_if_workers_crash_together():
     ledger, tasks, worker = _worker_that_crashes(2, (0.01, 0.5))
     crashed_s = worker.silent_since_s
-    assert blame.is_common(
+    assert blame.has_common_cause(
         crashed_s, [crashed_s - 0.05, crashed_s + 0.02, 1.0]
     )
-    assert not blame.is_common(crashed_s, [crashed_s - 0.05, 1.0])
+    assert not blame.has_common_cause(crashed_s, [crashed_s - 0.05, 1.0])
     assert not _crash_worker(ledger, worker, common=True)
 
 
 def test_run_on_probation_is_blamed_alone_beside_settled_ones():
     ledger, tasks, worker = _worker_that_crashes(3, (0.02, 1.5, 3.0))
-    isolation.note(ledger, tasks[0], _crash(1, EARLY_MS), 1.0)
+    isolation.record_crash(ledger, tasks[0], _crash(1, EARLY_MS), 1.0)
     tasks[0].run.attempt = 2
     assert _crash_worker(ledger, worker) == [tasks[0]]
     assert tasks[0].crashes[2].isolated
@@ -146,22 +146,22 @@
 
 def test_run_on_probation_shares_the_blame_with_a_young_one():
     ledger, tasks, worker = _worker_that_crashes(2, (0.02, 0.5))
-    isolation.note(ledger, tasks[0], _crash(1, EARLY_MS), 1.0)
+    isolation.record_crash(ledger, tasks[0], _crash(1, EARLY_MS), 1.0)
     tasks[0].run.attempt = 2
     _crash_worker(ledger, worker)
     assert not tasks[0].crashes[2].isolated
     assert tasks[1].crashes
-    assert not ledgers.final(tasks[0].group.entry)
+    assert not ledgers.is_final(tasks[0].group.entry)
 
 
 def test_long_running_task_at_work_is_never_blamed():
-    step = build.step(lasting=True)
+    step = build.step(is_long_running=True)
     ledger = build.ledger_with(build.job(step))
     task, worker = build.task(ledger), build.worker()
     for crash in range(20):
         run = build.start(ledger, task, worker, 10.0 * crash)
         run.sent, run.sent_s = True, 10.0 * crash
-        run.at_work_since_s = 10.0 * crash + 1.0
+        run.serving_since_s = 10.0 * crash + 1.0
         worker.silent_since_s = worker.silent_after_s = 10.0 * crash + 5.0
         _crash_worker(ledger, worker, now_s=10.0 * crash + 5.0)
     assert not task.crashes
@@ -185,16 +185,16 @@
     ledger = build.ledger_with(build.job(build.step(count)))
     tasks = [build.task(ledger, index=index) for index in range(count)]
     for index in suspects:
-        isolation.note(ledger, tasks[index], _crash(1, EARLY_MS), 1.0)
+        isolation.record_crash(ledger, tasks[index], _crash(1, EARLY_MS), 1.0)
     entry = tasks[0].group.entry
-    entry.crashes_kept = entry.crashes_noted
+    entry.stored_crash_revision = entry.crash_revision
     return ledger, tasks, entry
 
 
 def test_suspected_task_waits_until_its_crash_is_stored():
     _ledger, tasks, entry = _suspected(1, [0])
     assert isolation.startable(tasks[0].group) == tasks
-    entry.crashes_noted += 1
+    entry.crash_revision += 1
     assert not isolation.startable(tasks[0].group)
 
 
@@ -204,11 +204,11 @@
     assert isolation.startable(group) == [tasks[1]]
     build.start(ledger, tasks[1], worker)
     assert not isolation.startable(group)
-    assert isolation.note_going_on(tasks[1], crashes_.MIN_PROBATION_S)
+    assert isolation.update_probation(tasks[1], crashes_.MIN_PROBATION_S)
     assert isolation.startable(group) == [tasks[2], tasks[3]]
     for task in tasks[2:4]:
         build.start(ledger, task, worker)
-        assert not isolation.note_going_on(task, 0.1)
+        assert not isolation.update_probation(task, 0.1)
         task.run.proven = True
     assert isolation.startable(group) == [tasks[0], tasks[4]]
 
@@ -287,13 +287,13 @@
 def test_crashes_under_the_members_of_a_gang_count_together():
     ledger = build.ledger_with(build.job(build.step(2, gang=True)))
     tasks = [build.task(ledger, index=index) for index in (0, 1)]
-    isolation.note(ledger, tasks[0], _crash(1, EARLY_MS), 1.0)
+    isolation.record_crash(ledger, tasks[0], _crash(1, EARLY_MS), 1.0)
     assert set(tasks[0].group.suspects) == {0, 1}
     entry = tasks[0].group.entry
-    isolation.note(ledger, tasks[1], _crash(2, EARLY_MS, True), 2.0)
+    isolation.record_crash(ledger, tasks[1], _crash(2, EARLY_MS, True), 2.0)
     # So far, each member has only one crash of its own.
-    assert not ledgers.final(entry)
-    isolation.note(ledger, tasks[1], _crash(3, EARLY_MS, True), 3.0)
+    assert not ledgers.is_final(entry)
+    isolation.record_crash(ledger, tasks[1], _crash(3, EARLY_MS, True), 3.0)
     assert entry.state is model.State.FAILED
 
 
@@ -306,7 +306,7 @@
 
     async def scenario(scene):
         step = takeovers.step(3, 16000, 3000)
-        await takeovers.hand_in(scene, takeovers.leader(scene), step)
+        await takeovers.submit_job(scene, takeovers.leader(scene), step)
         await curio.sleep(0.03)
         machines = list(scene.fleet.machines.values())[: others + 1]
         for machine in machines:
--- a/tests/test_cut_off_half.py
+++ b/tests/test_cut_off_half.py
@@ -22,11 +22,11 @@
 
     async def story(scene):
         former = build.leader(scene)
-        build.note_starts(scene, begun)
-        await build.hand_in(scene, former, LONG)
+        build.record_starts(scene, begun)
+        await build.submit_job(scene, former, LONG)
         await curio.sleep(1.0)
         second, third = [row for row in scene.processes if row is not former]
-        build.cut_apart(scene, [former, second], [third], begun[0])
+        build.partition(scene, [former, second], [third], begun[0])
 
     result = build.play(story)
     assert begun
--- a/tests/test_cut_that_refuses.py
+++ b/tests/test_cut_that_refuses.py
@@ -8,8 +8,8 @@
 in place of 17.6 s, while the former leader, confirmed by the server on its
 side, renews the worker's lease for 12 s.
 
-Cause: `former` took a refused connection for proof that a process is over.
-Whatever stands between two machines can refuse as well.
+Cause: `previous_leaders` took a refused connection for proof that a process
+is over. Whatever stands between two machines can refuse as well.
 
 Log: `leads term=2` at 6.093 s, `asks-former terms=[1]`, `former-ended term=1`
 7 ms later, while the leader of term 1 logs `confirmed`; at 11.80 s
@@ -34,13 +34,13 @@
 
     async def story(scene):
         former = build.leader(scene)
-        build.note_starts(scene, begun)
-        await build.hand_in(scene, former, LONG)
+        build.record_starts(scene, begun)
+        await build.submit_job(scene, former, LONG)
         await curio.sleep(1.0)
         second, third = [row for row in scene.processes if row is not former]
         for harm in harms:
             _heal(scene)
-            build.cut_apart(scene, [former, second], [third], begun[0], harm)
+            build.partition(scene, [former, second], [third], begun[0], harm)
             await curio.sleep(gap_s)
 
     result = build.play(story)
@@ -81,12 +81,12 @@
 
     async def story(scene):
         former = build.leader(scene)
-        build.note_starts(scene, begun)
-        await build.hand_in(scene, former, LONG)
+        build.record_starts(scene, begun)
+        await build.submit_job(scene, former, LONG)
         await curio.sleep(1.0)
         second, third = [row for row in scene.processes if row is not former]
         left = [former, second]
-        ways = build.ways_across(scene, left, [third], begun[0])
+        ways = build.partition_pairs(scene, left, [third], begun[0])
         ways -= {(process.name, third.address) for process in left}
         scene.network.harms.update(dict.fromkeys(ways, harm))
 
@@ -101,11 +101,11 @@
 
     async def story(scene):
         former = build.leader(scene)
-        build.note_starts(scene, begun)
-        await build.hand_in(scene, former, LONG)
+        build.record_starts(scene, begun)
+        await build.submit_job(scene, former, LONG)
         await curio.sleep(1.0)
         second, third = [row for row in scene.processes if row is not former]
-        build.cut_apart(scene, [former, second], [third], begun[0])
+        build.partition(scene, [former, second], [third], begun[0])
         scene.network.cuts.discard((third.name, former.address))
         handler = scene.network.handlers.pop(former.address)
         scene.network.handlers[f'{former.address}-hidden'] = handler
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -55,7 +55,7 @@
 
 
 def test_long_running_tasks_hold_their_machine():
-    long_lived = {'lasting': True, 'checkpoints': True}
+    long_lived = {'is_long_running': True, 'checkpoints': True}
     assert _names([_member('m1', long_lived, SAVED)]) == []
 
 
@@ -86,7 +86,7 @@
 def test_machine_that_is_being_emptied_stays_chosen():
     members = [_member('m1', SAVED), _member('m2', SAVED, SAVED)]
     chosen = _names(members, wanted=1)
-    members[0].worker.emptying = True
+    members[0].worker.is_reclaimed = True
     assert _names(members, wanted=1) == chosen == ['m1']
 
 
@@ -104,7 +104,7 @@
         [past, lacking], standby, rebalancing.demand.Turns(), 1.5, NOW_S
     )
     # Twenty cores take three machines of eight; one is there.
-    assert len(decision.emptied) == 2
+    assert len(decision.to_drain) == 2
     assert not decision.moves
 
 
@@ -128,7 +128,7 @@
         1.5,
         NOW_S,
     )
-    return len(decision.emptied)
+    return len(decision.to_drain)
 
 
 def test_pool_whose_work_goes_first_gets_machines_that_are_needed_elsewhere():
--- a/tests/test_emulated_defects.py
+++ b/tests/test_emulated_defects.py
@@ -23,14 +23,14 @@
 
 
 def _acknowledge_at_once(patch):
-    take = workers_.take_report
+    take = workers_.process_report
 
     def eager(ledger, worker, report, *rest):
         outcome = take(ledger, worker, report, *rest)
-        worker.kept_end = worker.seen_end
+        worker.stored_end = worker.seen_end
         return outcome
 
-    patch.setattr(workers_, 'take_report', eager)
+    patch.setattr(workers_, 'process_report', eager)
 
 
 def _unguarded_writes(patch):
@@ -50,13 +50,13 @@
 def _unanswered_start_did_not_run(patch):
     async def forget(leader, worker, task, run, error):
         if task.run is run:
-            await dispatch._not_started(leader, worker, task, 'lost')
+            await dispatch._requeue_unstarted(leader, worker, task, 'lost')
 
     patch.setattr(dispatch, '_start_unanswered', forget)
 
 
 def _takeover_blocks_nothing(patch):
-    patch.setattr(schedule, 'unresolved', lambda leader: set())
+    patch.setattr(schedule, 'pools_with_unknown_runs', lambda leader: set())
 
 
 def _progress_is_not_restored(patch):
@@ -77,7 +77,9 @@
 
 
 def _any_may_go(patch):
-    patch.setattr(disruption_budget, 'may_end_all', lambda worker, now_s: True)
+    patch.setattr(
+        disruption_budget, 'may_interrupt_all', lambda worker, now_s: True
+    )
 
 
 def _steps_wait_for_nothing(patch):
--- a/tests/test_emulated_feature_defects.py
+++ b/tests/test_emulated_feature_defects.py
@@ -75,8 +75,8 @@
             room.gpus = capacity.gpus
         return found
 
-    real = placing.rooms
-    patch.setattr(placing, 'rooms', rooms)
+    real = placing.free_capacity
+    patch.setattr(placing, 'free_capacity', rooms)
 
 
 def _all_is_due(patch):
@@ -93,7 +93,7 @@
 
 
 def _nobody_needs_advice(patch):
-    patch.setattr(placing, 'is_unadvised', lambda group, known, now_s: False)
+    patch.setattr(placing, 'awaits_advice', lambda group, known, now_s: False)
 
 
 def _nothing_is_paced(patch):
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -79,7 +79,7 @@
 def _fault(key, value):
     with pytest.raises(entries_.BadEntry) as caught:
         entries.decode(key, value)
-    assert len(caught.value.reason) <= entries_.MAX_REASON
+    assert len(caught.value.reason) <= entries_.MAX_REASON_CHARS
     return caught.value.fault
 
 
@@ -136,7 +136,7 @@
     try:
         entry = entries.decode(f'servers/{name}', value)
     except entries_.BadEntry as error:
-        assert len(error.reason) <= entries_.MAX_REASON
+        assert len(error.reason) <= entries_.MAX_REASON_CHARS
         return
     entry.worker.encode('ascii')
     entry.address.encode('ascii')
--- a/tests/test_first_sizes.py
+++ b/tests/test_first_sizes.py
@@ -46,7 +46,7 @@
     pool_loop._note_first_sizes(leader, _views(a=2, b=1))
     pool_loop._note_first_sizes(leader, _views(a=6, b=5))
     assert leader.fleet.first_sizes == {'a': 6, 'b': 5}
-    assert leader.fleet.turns.pool_cores == {'a': 384.0, 'b': 320.0}
+    assert leader.fleet.arrival_history.pool_cores == {'a': 384.0, 'b': 320.0}
 
 
 def test_machines_that_were_moved_do_not_count(leader):
@@ -61,6 +61,6 @@
     wave = fleet.Wave(1, ('m1', 'm2', 'm3', 'm4'), 28.0, 1)
     progress = rolling.Progress(wave, 90.0, closed={'m2'})
     progress.begun.add('m1')
-    progress.down['m1'] = rolling.Ordered('w', 99.0)
+    progress.down['m1'] = rolling.MaintenanceOrder('w', 99.0)
     leader.fleet.waves[1] = progress
     assert pool_loop._fixed(leader, 100.0) == {'m1', 'm2'}
--- a/tests/test_foreign_text.py
+++ b/tests/test_foreign_text.py
@@ -13,7 +13,7 @@
 from oleanderwood import errors
 from oleanderwood import event_log
 from oleanderwood.frontend import handler
-from oleanderwood.leading import keeping
+from oleanderwood.leading import progress_writer
 from oleanderwood.platform import executors
 from oleanderwood.platform import store as product_store
 from oleanderwood.platform import transport
@@ -29,7 +29,9 @@
 KEY = 'servers/i-1'
 
 NAMES = ('p' * 189, 'p' * 190, 'p' * 900, 'ü' * 150, '~' * 3, 'a b/c+d=é')
-DIGEST = keeping.roster_key('p' * 900).removeprefix(keeping.ROSTER_PREFIX)
+DIGEST = progress_writer.worker_list_key('p' * 900).removeprefix(
+    progress_writer.WORKER_LIST_PREFIX
+)
 
 
 @pytest.mark.parametrize('name', NAMES, ids=lambda name: f'{len(name)}')
@@ -48,12 +50,12 @@
 
 def test_keys_of_rosters_differ_and_fit():
     names = [*NAMES, 'drafts', DIGEST, 'p' * 901]
-    keys = [keeping.roster_key(name) for name in names]
+    keys = [progress_writer.worker_list_key(name) for name in names]
     assert len(set(keys)) == len(names)
     assert all(
         len(key.encode()) <= product_store.MAX_KEY_BYTES for key in keys
     )
-    assert keeping.roster_key('drafts') == 'ow/workers/drafts'
+    assert progress_writer.worker_list_key('drafts') == 'ow/workers/drafts'
 
 
 def test_methods_of_callers_make_no_labels():
--- a/tests/test_full_pool.py
+++ b/tests/test_full_pool.py
@@ -28,7 +28,7 @@
         for number, step in enumerate(steps)
     ]
     ledger = build.ledger_with(*jobs)
-    ready = placing.by_service(ledger, QUEUES, lengths.Lengths(), 0.0, 1.0)
+    ready = placing.ready_by_pool(ledger, QUEUES, lengths.Lengths(), 0.0, 1.0)
     return ready.get(build.POOL, [])
 
 
@@ -63,7 +63,7 @@
     strategies.integers(1, 6),
     cpu=strategies.integers(100, 9000),
     mem=strategies.integers(100, 70_000),
-    lasting=strategies.booleans(),
+    is_long_running=strategies.booleans(),
     uses_leftover=strategies.booleans(),
     gang=strategies.booleans(),
     label=strategies.sampled_from(['', 'a', 'b']),
@@ -97,5 +97,7 @@
     ]
     ledger = build.ledger_with(*jobs)
     known = lengths.Lengths()
-    assert placing.by_service(ledger, QUEUES, known, 0.0, 1.0, {build.POOL})
-    assert not placing.by_service(ledger, QUEUES, known, 0.0, 1.0, {'other'})
+    assert placing.ready_by_pool(ledger, QUEUES, known, 0.0, 1.0, {build.POOL})
+    assert not placing.ready_by_pool(
+        ledger, QUEUES, known, 0.0, 1.0, {'other'}
+    )
--- a/tests/test_gang_beyond_fleet.py
+++ b/tests/test_gang_beyond_fleet.py
@@ -34,7 +34,7 @@
 
     async def main(world):
         leader = await utils_leading.lead(world)
-        step = build.step(tasks, cpu=5000, gang=True, lasting=True)
+        step = build.step(tasks, cpu=5000, gang=True, is_long_running=True)
         ledgers.add(leader.ledger, build.job(step), clock.now_s())
         worker = build.worker('w0')
         for number in range(MACHINES):
@@ -51,7 +51,7 @@
         view = rebalancing.PoolView(build.POOL, [member])
         now_s = clock.now_s()
         pool_loop._note_demand(leader, {build.POOL: view}, now_s)
-        found.append(view.lacks_kind)
+        found.append(view.lacks_suitable_machine)
 
     servers.run(main, CONFIGURATION)
     assert found == [lacks]
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -22,7 +22,7 @@
     ledger, (first, second) = _gang()
     entry = first.group.entry
     ledgers.mark_failed(ledger, first, 'w1', 1, 2, 1.0)
-    assert not ledgers.final(entry)
+    assert not ledgers.is_final(entry)
     ledgers.mark_failed(ledger, second, 'w2', 2, 2, 2.0)
     assert entry.state is model.State.FAILED
 
@@ -31,7 +31,7 @@
     ledger, (first, second) = _gang()
     ledgers.mark_failed(ledger, first, 'w1', 1, 2, 1.0)
     ledgers.mark_failed(ledger, second, 'w2', 1, 2, 1.0)
-    assert not ledgers.final(first.group.entry)
+    assert not ledgers.is_final(first.group.entry)
 
 
 def test_members_resume_from_the_same_checkpoint():
@@ -46,9 +46,9 @@
     row = reports.Running(first.name, 1, checkpoint='c1')
     build.take(ledger, workers[0], reports.Report(0.0, [row], []))
     for task in (first, second):
-        ledgers.over(ledger, task, 3.0)
+        ledgers.end_run(ledger, task, 3.0)
     runs = [
-        ledgers.begin(ledger, task, worker.entry.worker, 4.0, 2)
+        ledgers.begin_run(ledger, task, worker.entry.worker, 4.0, 2)
         for task, worker in zip((first, second), workers, strict=True)
     ]
     # An end of an earlier run that is listed late must not change that.
@@ -65,16 +65,16 @@
     group = first.group
     worker = build.worker()
     build.start(ledger, first, worker)
-    ledgers.begin(ledger, second, 'w2', 1.0, 1)
-    assert not placing.parted([group], 9.0)
-    ledgers.over(ledger, second, 2.0)
-    assert not placing.parted([group], 2.0)
-    assert placing.parted([group], 2.5) == [first]
-    ledgers.over(ledger, first, 3.0)
-    assert not placing.parted([group], 9.0)
+    ledgers.begin_run(ledger, second, 'w2', 1.0, 1)
+    assert not placing.incomplete_gang_members([group], 9.0)
+    ledgers.end_run(ledger, second, 2.0)
+    assert not placing.incomplete_gang_members([group], 2.0)
+    assert placing.incomplete_gang_members([group], 2.5) == [first]
+    ledgers.end_run(ledger, first, 3.0)
+    assert not placing.incomplete_gang_members([group], 9.0)
 
 
 def test_tasks_of_an_ordinary_step_are_no_incomplete_gang():
     ledger = build.ledger_with(build.job(build.step(2)))
     build.start(ledger, build.task(ledger), build.worker())
-    assert not placing.parted([build.task(ledger).group], 9.0)
+    assert not placing.incomplete_gang_members([build.task(ledger).group], 9.0)
--- a/tests/test_gap_in_acting.py
+++ b/tests/test_gap_in_acting.py
@@ -64,10 +64,10 @@
     """
 
     async def scenario(scene):
-        begun = await utils_restarts.begin(
+        begun = await utils_restarts.start_job(
             scene, build.step(1, 16000, utils_restarts.BRIEF_MS)
         )
-        await utils_restarts.hand_in_brief(scene, 6)
+        await utils_restarts.submit_brief_jobs(scene, 6)
         await curio.sleep(2.0)
         isolated = build.leader(scene)
         _cut_off(scene, isolated)
@@ -93,7 +93,7 @@
     assert not result.breaches and not result.unfinished
 
 
-def test_next_life_sees_the_fence_of_a_leader_that_may_not_act():
+def test_next_incarnation_sees_the_fence_of_a_leader_that_may_not_act():
     seen = []
     result = _gap(seen)
     assert seen[0] > 0
--- a/tests/test_labelled_newcomer.py
+++ b/tests/test_labelled_newcomer.py
@@ -50,9 +50,9 @@
     plain, labelled = build.worker('w1'), build.worker('w2', labels=('b',))
     group = _group('b', ['w1'], ['w1'])
     pool = [plain, labelled]
-    assert not placing.has_fitting_newcomer(group, [plain], build.POOL)
-    assert placing.has_fitting_newcomer(group, pool, build.POOL)
-    assert not placing.has_fitting_newcomer(group, pool, 'another')
+    assert not placing.has_new_matching_worker(group, [plain], build.POOL)
+    assert placing.has_new_matching_worker(group, pool, build.POOL)
+    assert not placing.has_new_matching_worker(group, pool, 'another')
 
 
 def test_advice_is_not_asked_for_again_without_need():
@@ -64,8 +64,8 @@
         _group('', ['w1'], ['w1']),
     ):
         pool = [plain, labelled]
-        assert not placing.has_fitting_newcomer(group, pool, build.POOL)
+        assert not placing.has_new_matching_worker(group, pool, build.POOL)
     good = _group('b', ['w2'], ['w2'])
-    assert not placing.has_fitting_newcomer(
+    assert not placing.has_new_matching_worker(
         good, [labelled, other], build.POOL
     )
--- a/tests/test_late_calls.py
+++ b/tests/test_late_calls.py
@@ -41,15 +41,15 @@
     """
 
     async def scenario(scene):
-        late = utils_restarts.make_one_late(scene, LATE_S, path, matches)
-        await build.hand_in(scene, build.leader(scene), step)
+        late = utils_restarts.delay_one_order(scene, LATE_S, path, matches)
+        await build.submit_job(scene, build.leader(scene), step)
         while not late:
             await curio.sleep(0.01)
         (address,) = late
         await curio.sleep(RESTART_AFTER_S)
         if restarts:
             await utils_restarts.restart(scene, address, 0.05)
-        late_outcomes = utils_restarts.note_late(scene, address)
+        late_outcomes = utils_restarts.record_late_outcomes(scene, address)
         await curio.sleep(LATE_S)
         outcomes.extend(late_outcomes)
 
@@ -95,7 +95,7 @@
         leader = _leader(scene)
         for address in utils_restarts.executor_addresses(scene):
             _overtake(scene, leader, address, seen)
-        await build.hand_in(scene, build.leader(scene), utils_restarts.LONG)
+        await build.submit_job(scene, build.leader(scene), utils_restarts.LONG)
         await curio.sleep(1.0)
         assert not leader.deposed
 
@@ -129,12 +129,12 @@
     async def scenario(scene):
         leader = _leader(scene)
         worker = next(iter(leader.workers.values()))
-        for _ in range(fences.NUMBERS - fences.RESERVED):
+        for _ in range(fences.NUMBERS_PER_TERM - fences.RESERVED_NUMBERS):
             states.raise_fence(leader, worker)
         await curio.sleep(3.0)
         later = _leader(scene).term
         terms.extend([leader.deposed, later > leader.term])
-        await build.hand_in(
+        await build.submit_job(
             scene, build.leader(scene), build.step(3, 1500, build.BRIEF_MS)
         )
 
@@ -168,7 +168,7 @@
             strategies.sampled_from(['raise', 'forget']),
             strategies.sampled_from(EXECUTORS),
         ),
-        max_size=3 * fences.NUMBERS,
+        max_size=3 * fences.NUMBERS_PER_TERM,
     ),
 )
 def test_fences_only_rise_within_their_term(term_before, steps):
@@ -185,7 +185,7 @@
         used_up = fences.are_used_up(fence_book, name)
         assert now > last[name] or act == 'forget' or used_up
         assert now >= last[name]
-        assert fences.is_overtaken(fence_book, name, last[name]) == (
+        assert fences.is_superseded(fence_book, name, last[name]) == (
             now > last[name]
         )
         assert now <= term
@@ -193,24 +193,24 @@
 
 
 def test_number_of_an_executor_that_is_gone_is_kept_for_a_while():
-    fence_book = fences.Fences(fences.NUMBERS)
+    fence_book = fences.Fences(fences.NUMBERS_PER_TERM)
     for name in EXECUTORS:
         fences.raise_fence(fence_book, name)
         fences.raise_fence(fence_book, name)
     fences.forget(fence_book, EXECUTORS[0], 10.0)
-    fences.forget(fence_book, EXECUTORS[1], 10.0 + fences.KEPT_S)
+    fences.forget(fence_book, EXECUTORS[1], 10.0 + fences.RETENTION_S)
     assert fences.number(fence_book, EXECUTORS[0]) == 2
-    fences.forget(fence_book, EXECUTORS[1], 11.0 + fences.KEPT_S)
+    fences.forget(fence_book, EXECUTORS[1], 11.0 + fences.RETENTION_S)
     assert EXECUTORS[0] not in fence_book.numbers
     assert fences.number(fence_book, EXECUTORS[1]) == 2
 
 
 def test_executor_that_returns_keeps_its_number():
-    fence_book = fences.Fences(fences.NUMBERS)
+    fence_book = fences.Fences(fences.NUMBERS_PER_TERM)
     fences.raise_fence(fence_book, EXECUTORS[0])
     fences.forget(fence_book, EXECUTORS[0], 0.0)
     fences.raise_fence(fence_book, EXECUTORS[0])
-    fences.forget(fence_book, EXECUTORS[1], 2 * fences.KEPT_S)
+    fences.forget(fence_book, EXECUTORS[1], 2 * fences.RETENTION_S)
     assert fences.number(fence_book, EXECUTORS[0]) == 2
 
 
@@ -219,7 +219,7 @@
     terms = []
 
     async def next_leads(scene):
-        await build.hand_in(
+        await build.submit_job(
             scene, build.leader(scene), build.step(3, 1500, 1000)
         )
         await build.kill(scene, build.leader(scene))
@@ -251,14 +251,14 @@
 
 def test_terms_before_are_found_whatever_release_they_are_of():
     known = _roles(0, (256, 0), (257, None), (258, None), (514, 258))
-    assert roles.unsettled_terms(known, 514) == [258, 257, 256]
+    assert roles.unended_terms(known, 514) == [258, 257, 256]
     roles.note_ended(known, 257)
-    assert roles.unsettled_terms(known, 514) == [258]
+    assert roles.unended_terms(known, 514) == [258]
     roles.note_ended(known, 513)
-    assert roles.unsettled_terms(known, 514) == []
+    assert roles.unended_terms(known, 514) == []
 
 
 def test_term_whose_leader_is_not_known_is_unsettled():
     known = _roles(0, (256, 0), (768, 512))
-    assert roles.unsettled_terms(known, 768) == [512]
-    assert roles.unsettled_terms(_roles(0), 256) == [255]
+    assert roles.unended_terms(known, 768) == [512]
+    assert roles.unended_terms(_roles(0), 256) == [255]
--- a/tests/test_late_orders.py
+++ b/tests/test_late_orders.py
@@ -40,15 +40,15 @@
     outcomes = []
 
     async def scenario(scene):
-        late = utils_restarts.make_one_late(scene, LATE_S)
+        late = utils_restarts.delay_one_order(scene, LATE_S)
         leader = build.leader(scene)
-        await build.hand_in(scene, leader, build.step(1, 16000, 1000))
+        await build.submit_job(scene, leader, build.step(1, 16000, 1000))
         await curio.sleep(LATE_S - 2.0)
         scene.store.down = 'silent'
         await fault(scene, leader)
         await curio.sleep(1.0)
         await utils_restarts.restart(scene, late[0], 0.5)
-        outcomes.extend([utils_restarts.note_late(scene, late[0])])
+        outcomes.extend([utils_restarts.record_late_outcomes(scene, late[0])])
         await curio.sleep(3.0)
         scene.store.down = ''
         scene.network.cuts.clear()
@@ -62,12 +62,14 @@
     all_unanswered = []
 
     async def scenario(scene):
-        utils_restarts.make_one_late(scene, LATE_S)
-        await build.hand_in(
+        utils_restarts.delay_one_order(scene, LATE_S)
+        await build.submit_job(
             scene, build.leader(scene), build.step(1, 16000, 1000)
         )
         await curio.sleep(1.5)
-        all_unanswered.extend(row.state.unanswered for row in scene.processes)
+        all_unanswered.extend(
+            row.state.late_order_executors for row in scene.processes
+        )
 
     build.play(scenario)
     assert all_unanswered
@@ -91,7 +93,7 @@
     )
 )
 def test_latest_orders_are_kept_with_their_highest_fences(steps):
-    unanswered = late_orders.Book()
+    unanswered = late_orders.UnansweredOrders()
     now_s = 0.0
     fences: dict[str, int] = {}
     for number, fence, for_s in steps:
@@ -100,22 +102,35 @@
         if order.executor not in unanswered.orders:
             fences.pop(order.executor, None)
         fences[order.executor] = max(fence, fences.get(order.executor, 0))
-        late_orders.take(unanswered, order, now_s)
+        late_orders.add(unanswered, order, now_s)
         assert len(unanswered.orders) <= late_orders.MAX_EXECUTORS
         assert unanswered.orders.keys() == unanswered.until_s.keys()
         for known in unanswered.orders.values():
             assert known.fence == fences[known.executor]
         longest_s = max(unanswered.until_s.values(), default=0.0)
         assert longest_s <= now_s + late_orders.MAX_DELAY_S
-    assert not late_orders.due(unanswered, now_s + late_orders.MAX_DELAY_S)
+    assert not late_orders.executors_to_call(
+        unanswered, now_s + late_orders.MAX_DELAY_S
+    )
 
 
 def test_executor_is_called_until_its_order_can_no_longer_arrive():
-    unanswered = late_orders.Book()
-    late_orders.take(unanswered, _order(1), 0.0)
-    late_orders.take(unanswered, _order(2), 5.0)
-    assert len(late_orders.due(unanswered, late_orders.MAX_DELAY_S - 0.1)) == 2
-    (left,) = late_orders.due(unanswered, late_orders.MAX_DELAY_S)
+    unanswered = late_orders.UnansweredOrders()
+    late_orders.add(unanswered, _order(1), 0.0)
+    late_orders.add(unanswered, _order(2), 5.0)
+    assert (
+        len(
+            late_orders.executors_to_call(
+                unanswered, late_orders.MAX_DELAY_S - 0.1
+            )
+        )
+        == 2
+    )
+    (left,) = late_orders.executors_to_call(
+        unanswered, late_orders.MAX_DELAY_S
+    )
     assert left.executor == 'i-2'
-    late_orders.drop(unanswered, left.executor)
-    assert not late_orders.due(unanswered, late_orders.MAX_DELAY_S)
+    late_orders.remove(unanswered, left.executor)
+    assert not late_orders.executors_to_call(
+        unanswered, late_orders.MAX_DELAY_S
+    )
--- a/tests/test_lonely_leader.py
+++ b/tests/test_leader_without_peers.py
@@ -28,15 +28,15 @@
 
     async def scenario(scene):
         previous = build.leader(scene)
-        build.note_starts(scene, begun)
-        await build.hand_in(scene, previous, LONG)
+        build.record_starts(scene, begun)
+        await build.submit_job(scene, previous, LONG)
         await curio.sleep(1.0)
         others = {row.name for row in scene.processes if row is not previous}
         scene.store.refused |= others
         await curio.sleep(REFUSED_S)
         assert build.leader(scene) is previous
         rest = [row for row in scene.processes if row is not previous]
-        build.cut_apart(scene, [previous], rest, begun[0])
+        build.partition(scene, [previous], rest, begun[0])
         scene.store.refused -= others
 
     result = build.play(scenario)
--- a/tests/test_lease_renewed_by_another.py
+++ b/tests/test_lease_renewed_by_another.py
@@ -41,13 +41,13 @@
         for machine in scene.fleet.machines.values()
         if machine.address != begun[0]
     )
-    build.cut_apart(scene, [former, second], [third], idle, harm)
+    build.partition(scene, [former, second], [third], idle, harm)
 
 
 async def _begin(scene, begun, step):
     former = build.leader(scene)
-    build.note_starts(scene, begun)
-    await build.hand_in(scene, former, step)
+    build.record_starts(scene, begun)
+    await build.submit_job(scene, former, step)
     await curio.sleep(1.0)
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -34,9 +34,9 @@
 def test_running_task_is_not_started_again():
     ledger = build.ledger_with(build.job())
     task = build.task(ledger)
-    ledgers.begin(ledger, task, 'w1', 1.0)
+    ledgers.begin_run(ledger, task, 'w1', 1.0)
     with pytest.raises(errors.InvariantBreach):
-        ledgers.begin(ledger, task, 'w2', 2.0)
+        ledgers.begin_run(ledger, task, 'w2', 2.0)
 
 
 def test_done_task_is_not_started_again():
@@ -44,20 +44,20 @@
     task = build.task(ledger)
     ledgers.mark_done(ledger, task, 1.0)
     with pytest.raises(errors.InvariantBreach):
-        ledgers.begin(ledger, task, 'w2', 2.0)
+        ledgers.begin_run(ledger, task, 'w2', 2.0)
 
 
 def test_attempts_begin_at_one_and_grow():
     ledger = build.ledger_with(build.job())
     task = build.task(ledger)
-    assert ledgers.begin(ledger, task, 'w1', 1.0).attempt == 1
-    ledgers.over(ledger, task, 2.0)
-    assert ledgers.begin(ledger, task, 'w1', 3.0).attempt == 2
+    assert ledgers.begin_run(ledger, task, 'w1', 1.0).attempt == 1
+    ledgers.end_run(ledger, task, 2.0)
+    assert ledgers.begin_run(ledger, task, 'w1', 3.0).attempt == 2
 
 
 def test_inherited_job_gets_attempts_above_those_of_earlier_terms():
     ledger = build.ledger_with(build.job(), term=3, inherited=True)
-    run = ledgers.begin(ledger, build.task(ledger), 'w1', 1.0)
+    run = ledgers.begin_run(ledger, build.task(ledger), 'w1', 1.0)
     assert run.attempt > 2 * ledgers.ATTEMPTS_PER_TERM
 
 
@@ -67,7 +67,7 @@
     ledgers.mark_done(ledger, build.task(ledger), 1.0)
     assert entry.state is model.State.COMPLETED
     assert ledgers.shown_state(entry) is model.State.RUNNING
-    entry.kept_state = model.State.COMPLETED
+    entry.stored_state = model.State.COMPLETED
     assert ledgers.shown_state(entry) is model.State.COMPLETED
 
 
@@ -76,7 +76,7 @@
     task = build.task(ledger)
     entry = ledger.entries[build.JOB]
     ledgers.mark_failed(ledger, task, 'w1', 1, 2, 1.0)
-    assert not ledgers.final(entry)
+    assert not ledgers.is_final(entry)
     ledgers.mark_failed(ledger, task, 'w2', 2, 2, 2.0)
     assert entry.state is model.State.FAILED
 
@@ -86,15 +86,15 @@
     task = build.task(ledger)
     assert ledgers.mark_failed(ledger, task, 'w1', 1, 2, 1.0)
     assert not ledgers.mark_failed(ledger, task, 'w1', 1, 2, 1.0)
-    assert not ledgers.final(ledger.entries[build.JOB])
+    assert not ledgers.is_final(ledger.entries[build.JOB])
 
 
 def test_long_running_task_may_fail_any_number_of_times():
-    ledger = build.ledger_with(build.job(build.step(lasting=True)))
+    ledger = build.ledger_with(build.job(build.step(is_long_running=True)))
     task = build.task(ledger)
     for attempt in range(1, 6):
         ledgers.mark_failed(ledger, task, 'w1', attempt, 2, 1.0)
-    assert not ledgers.final(ledger.entries[build.JOB])
+    assert not ledgers.is_final(ledger.entries[build.JOB])
 
 
 def test_cancelled_job_has_no_waiting_tasks():
--- a/tests/test_lengths.py
+++ b/tests/test_lengths.py
@@ -10,11 +10,11 @@
 def _note(lengths, estimate_s, real_s):
     step = build.step(guess_ms=estimate_s * 1000)
     ledger = build.ledger_with(build.job(step))
-    lengths_.note(lengths, build.task(ledger).group, real_s)
+    lengths_.record(lengths, build.task(ledger).group, real_s)
 
 
 def test_estimates_of_an_unknown_queue_are_not_corrected():
-    assert lengths_.factor(lengths_.Lengths(), 'q') == 1.0
+    assert lengths_.correction_factor(lengths_.Lengths(), 'q') == 1.0
 
 
 def test_errors_in_both_directions_cancel_out():
@@ -24,7 +24,7 @@
         lengths = lengths_.Lengths()
         for _ in range(100):
             _note(lengths, rng.lognormvariate(0.0, 0.8), 1.378)
-        factors.append(lengths_.factor(lengths, 'q'))
+        factors.append(lengths_.correction_factor(lengths, 'q'))
     # The mean of the ratios would be 1.9.
     assert 0.8 < sum(factors) / len(factors) < 1.25
 
@@ -33,7 +33,7 @@
     lengths = lengths_.Lengths()
     for _ in range(100):
         _note(lengths, 1.0, 2.0)
-    assert 1.9 < lengths_.factor(lengths, 'q') <= 2.0
+    assert 1.9 < lengths_.correction_factor(lengths, 'q') <= 2.0
 
 
 def _fitted(rng, slope, spread=0.3, tasks=300):
--- a/tests/test_losses_in_the_log.py
+++ b/tests/test_losses_in_the_log.py
@@ -14,5 +14,5 @@
         run = build.start(ledger, task, worker, begun_s)
         run.sent, run.sent_s = task is not unsent, begun_s
     worker.silent_since_s = 5.0
-    fields = losses.log_fields(workers_.note_losses(worker, 5.4))
+    fields = losses.log_fields(workers_.record_losses(worker, 5.4))
     assert fields == {'lost': {young.name: [10, 3], old.name: [4000, 1]}}
--- a/tests/test_wary.py
+++ b/tests/test_lossy_calls.py
@@ -24,8 +24,8 @@
 
 def _leader():
     return types.SimpleNamespace(
-        wary_until_s=0.0,
-        pulse=leadership_transfer.TimerLateness(),
+        lossy_until_s=0.0,
+        timer_lateness=leadership_transfer.TimerLateness(),
         calls=types.SimpleNamespace(timeout_s=0.0),
     )
 
@@ -63,9 +63,9 @@
     assert error.verdict is verdicts.Verdict.MAY_HAVE_RUN
     leader = _leader()
     worker_loop.note_unanswered(leader, error)
-    assert (leader.wary_until_s > clock.now_s()) is wary
+    assert (leader.lossy_until_s > clock.now_s()) is wary
 
 
-def test_closed_connection_is_told_in_plain_words():
+def test_error_of_closed_connection_is_plain():
     error = curio.run(_failed_call, 0.0)
     assert error.reason.endswith('closed before the answer')
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -53,7 +53,7 @@
 
         for name in scene.fleet.machines:
             build.on_start(scene, name, note)
-        await build.hand_in(scene, other, BRIEF)
+        await build.submit_job(scene, other, BRIEF)
 
     result = build.play(story)
     assert lost
--- a/tests/test_machine_list.py
+++ b/tests/test_machine_list.py
@@ -52,7 +52,7 @@
 
     async def story(scene):
         leader = build.leader(scene)
-        await build.hand_in(scene, leader, LONG)
+        await build.submit_job(scene, leader, LONG)
         await curio.sleep(2.0)
         name = _busy(scene)
         before = leader.state.leader.workers[f'i-{name}-1']
--- a/tests/test_many_ends.py
+++ b/tests/test_many_ends.py
@@ -48,7 +48,7 @@
 def test_task_whose_end_is_not_listed_yet_is_not_started_again():
     async def scenario(scene):
         leader = build.leader(scene)
-        await build.hand_in(scene, leader, WIDE)
+        await build.submit_job(scene, leader, WIDE)
         await curio.sleep(0.1)
         scene.store.down = 'busy'
         await curio.sleep(AWAY_S)
@@ -64,7 +64,7 @@
     async def scenario(scene):
         leader = build.leader(scene)
         other = next(row for row in scene.processes if row is not leader)
-        await build.hand_in(scene, other, WIDE)
+        await build.submit_job(scene, other, WIDE)
         # Just before the first runs end.
         await curio.sleep(0.7)
         scene.store.down = 'busy'
--- a/tests/test_many_moves.py
+++ b/tests/test_many_moves.py
@@ -61,7 +61,7 @@
             leader.state.settings, machine_orders_per_s=ORDERS_PER_S
         )
         for _ in range(JOBS):
-            await build.hand_in(scene, leader, build.step(8, 16000, 1000))
+            await build.submit_job(scene, leader, build.step(8, 16000, 1000))
         await curio.sleep(3.0)
 
     result: day.Result = build.play(scenario, LARGE)
--- a/tests/test_open_findings.py
+++ b/tests/test_open_findings.py
@@ -77,7 +77,7 @@
         for number in range(JOBS):
             crashes = rng.random() < 0.3
             how = {crashing.FIELD: crashing.crash(0.01)} if crashes else {}
-            await build.hand_in(
+            await build.submit_job(
                 scene, other, {**build.step(6, 2000, 640), **how}
             )
             await curio.sleep(GAP_S)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -10,7 +10,7 @@
 
 def _next_to_latency_task(latency_ms, percent=100):
     """Build a worker with a latency-sensitive and a leftover task."""
-    latency_step = build.step(lasting=True, latency_target_ms=100.0)
+    latency_step = build.step(is_long_running=True, latency_target_ms=100.0)
     leftover = build.step(uses_leftover=True)
     ledger = build.ledger_with(build.job(latency_step, leftover))
     worker = build.worker()
@@ -46,7 +46,7 @@
 def test_leftover_task_prefers_a_worker_without_latency_targets():
     busy = _next_to_latency_task(10.0)
     ledger = build.ledger_with(build.job(build.step(uses_leftover=True)))
-    ready = placing.by_service(
+    ready = placing.ready_by_pool(
         ledger, {'q': build.queue()}, lengths.Lengths(), 0.0, 1.0
     )
     pool = [busy, build.worker('w2')]
@@ -58,33 +58,33 @@
     ledger = build.ledger_with(build.job(build.step(**fields)))
     worker = build.worker()
     run = build.start(ledger, build.task(ledger), worker)
-    run.moved_on_s = moved_on_s
+    run.last_progress_s = moved_on_s
     return worker, run
 
 
 def test_run_without_progress_has_stalled():
     worker, _run = _run_since(10.0)
-    assert not stalls.stalled(worker, 12.5)
-    assert len(stalls.stalled(worker, 13.5)) == 1
+    assert not stalls.stalled_tasks(worker, 12.5)
+    assert len(stalls.stalled_tasks(worker, 13.5)) == 1
 
 
 def test_long_task_may_make_no_progress_for_longer():
     worker, _run = _run_since(10.0, guess_ms=20_000.0)
-    assert not stalls.stalled(worker, 19.0)
-    assert stalls.stalled(worker, 21.0)
+    assert not stalls.stalled_tasks(worker, 19.0)
+    assert stalls.stalled_tasks(worker, 21.0)
 
 
 def test_paced_task_has_not_stalled():
     worker, run = _run_since(10.0)
     run.pace_percent = 0
-    assert not stalls.stalled(worker, 30.0)
+    assert not stalls.stalled_tasks(worker, 30.0)
 
 
 def test_long_running_task_at_work_never_stalls():
-    worker, run = _run_since(10.0, lasting=True)
-    assert stalls.stalled(worker, 17.0)
-    run.at_work_since_s = 11.0
-    assert not stalls.stalled(worker, 99.0)
+    worker, run = _run_since(10.0, is_long_running=True)
+    assert stalls.stalled_tasks(worker, 17.0)
+    run.serving_since_s = 11.0
+    assert not stalls.stalled_tasks(worker, 99.0)
 
 
 def _advised_setup():
@@ -95,10 +95,12 @@
 
 def test_step_waits_for_advice_and_starts_on_an_advised_worker():
     ledger, queues, group = _advised_setup()
-    assert not placing.by_service(ledger, queues, lengths.Lengths(), 0.0, 1.0)
+    assert not placing.ready_by_pool(
+        ledger, queues, lengths.Lengths(), 0.0, 1.0
+    )
     group.tickets = {'w2': 'ticket'}
     group.advised_until_s = 5.0
-    ready = placing.by_service(ledger, queues, lengths.Lengths(), 0.0, 1.0)
+    ready = placing.ready_by_pool(ledger, queues, lengths.Lengths(), 0.0, 1.0)
     pool = [build.worker('w1'), build.worker('w2')]
     decided = placing.decide(ready[build.POOL], pool, 1.0, 10)
     assert {row.worker.entry.worker for row in decided} == {'w2'}
@@ -108,8 +110,10 @@
     ledger, queues, group = _advised_setup()
     group.tickets = {'w1': 'ticket'}
     group.advised_until_s = 0.5
-    assert not placing.by_service(ledger, queues, lengths.Lengths(), 0.0, 1.0)
-    assert group.waiting and not ledgers.final(group.entry)
+    assert not placing.ready_by_pool(
+        ledger, queues, lengths.Lengths(), 0.0, 1.0
+    )
+    assert group.waiting and not ledgers.is_final(group.entry)
 
 
 def test_advice_is_requested_again_when_no_advised_worker_is_left():
@@ -148,7 +152,7 @@
     # percent, and so never raised a pace of 0.
     ledger, worker, _run = _leftover_run(0)
     task = build.task(ledger)
-    ledgers.over(ledger, task, 2.0)
+    ledgers.end_run(ledger, task, 2.0)
     run = ledgers.adopt(ledger, task, 'w1', 1, 3.0)
     assert _paces(worker) == [100]
     run.pace_percent = 100
@@ -169,7 +173,7 @@
     # tenth of the CPU that they requested, while other workers were idle.
     step = build.step(4, cpu=4000, uses_leftover=True)
     ledger = build.ledger_with(build.job(step))
-    ready = placing.by_service(
+    ready = placing.ready_by_pool(
         ledger, {'q': build.queue()}, lengths.Lengths(), 0.0, 1.0
     )
     pool = [build.worker('w1'), build.worker('w2')]
--- a/tests/test_persistence.py
+++ b/tests/test_persistence.py
@@ -28,7 +28,7 @@
     for name in NAMES:
         _change(ledger, name)
     ledgers.end(ledger, ledger.entries[NAMES[2]], model.State.CANCELLED, 1.0)
-    taken = persistence.take_up(ledger, 2)
+    taken = persistence.take_dirty(ledger, 2)
     assert [row.job.job for row in taken] == [NAMES[2], NAMES[0]]
 
 
@@ -36,12 +36,12 @@
     """Of two concurrent writes of a job, the older could take effect last."""
     ledger = _ledger()
     _change(ledger, NAMES[0])
-    first = persistence.take_up(ledger, 9)
+    first = persistence.take_dirty(ledger, 9)
     _change(ledger, NAMES[0])
-    assert not persistence.take_up(ledger, 9)
+    assert not persistence.take_dirty(ledger, 9)
     persistence.note_written(ledger, first)
     assert persistence.written_up_to(ledger) == 1
-    second = persistence.take_up(ledger, 9)
+    second = persistence.take_dirty(ledger, 9)
     assert second == first
     persistence.note_written(ledger, second)
     assert persistence.written_up_to(ledger) == 2
@@ -50,12 +50,12 @@
 def test_failed_write_leaves_its_changes_unwritten():
     ledger = _ledger()
     _change(ledger, NAMES[0])
-    taken = persistence.take_up(ledger, 9)
+    taken = persistence.take_dirty(ledger, 9)
     _change(ledger, NAMES[0])
     _change(ledger, NAMES[1])
     persistence.note_failed(ledger, taken)
     assert persistence.written_up_to(ledger) == 0
-    taken = persistence.take_up(ledger, 9)
+    taken = persistence.take_dirty(ledger, 9)
     assert {row.job.job for row in taken} == {NAMES[0], NAMES[1]}
     persistence.note_written(ledger, taken)
     assert persistence.written_up_to(ledger) == 3
@@ -85,7 +85,7 @@
             _change(ledger, NAMES[value])
             changes.append(NAMES[value])
         elif action == 'take up':
-            taken = persistence.take_up(ledger, value)
+            taken = persistence.take_dirty(ledger, value)
             writes.append((taken, len(changes)))
         elif action == 'written' and writes:
             taken, at = writes.pop(0)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -13,7 +13,9 @@
 
 def _decide(ledger, pool, now_s=1.0):
     queues = {'q': build.queue()}
-    ready = placing.by_service(ledger, queues, lengths.Lengths(), 0.0, now_s)
+    ready = placing.ready_by_pool(
+        ledger, queues, lengths.Lengths(), 0.0, now_s
+    )
     return placing.decide(ready.get(build.POOL, []), pool, now_s, 100)
 
 
@@ -163,7 +165,7 @@
     # long-running tasks: no batch task was started there any more.
     worker = _suspect('w1')
     ledger = build.ledger_with(
-        build.job(build.step(lasting=True), name='1' * 16),
+        build.job(build.step(is_long_running=True), name='1' * 16),
         build.job(build.step(3), name='2' * 16),
     )
     build.start(ledger, build.task(ledger, name='1' * 16), worker)
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -146,7 +146,9 @@
 
 def test_stored_jobs_keep_the_names_of_earlier_versions():
     """Servers of two versions read each other's jobs."""
-    lasting = build.step(lasting=True, most_away=2, one_rack=True)
+    lasting = build.step(
+        is_long_running=True, max_unavailable=2, one_rack=True
+    )
     given = build.job(lasting, repeat_every_ms=500.0)
     stored = msgspec.json.decode(msgspec.json.encode(given))
     (step,) = stored['work']['steps']
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -114,5 +114,5 @@
 
 
 def test_stored_policy_is_decoded_as_it_was_encoded():
-    stored = model.Kept(3, reading.read(GOOD), GOOD, 'ana', 'op', 5.0)
+    stored = model.StoredPolicy(3, reading.read(GOOD), GOOD, 'ana', 'op', 5.0)
     assert reading.decode(reading.encode(stored)) == stored
--- a/tests/test_former_leader.py
+++ b/tests/test_previous_leader.py
@@ -91,10 +91,10 @@
     async def scenario(scene):
         previous = build.leader(scene)
         other = next(row for row in scene.processes if row is not previous)
-        await build.hand_in(scene, other, build.step(1, 1000, 4000))
+        await build.submit_job(scene, other, build.step(1, 1000, 4000))
         await curio.sleep(1.0)
         build.cut_off_runs(scene, previous)
-        await build.send_queue_to(scene, 'finals')
+        await build.move_queues_to(scene, 'finals')
         await curio.sleep(0.5)
         await build.kill(scene, previous)
 
--- a/tests/test_former_ended.py
+++ b/tests/test_previous_leader_ended.py
@@ -10,8 +10,8 @@
 import curio
 
 from emulator import servers
-from oleanderwood.leading import confirming
-from oleanderwood.leading import former
+from oleanderwood.leading import confirmation
+from oleanderwood.leading import previous_leaders
 from oleanderwood.leading import roles
 from oleanderwood.pools import fences
 from tests import utils_leading
@@ -40,7 +40,7 @@
 
 async def _cut_off_one_worker(scene, earlier):
     """Make a busy worker reachable from the leader only."""
-    await build.hand_in(scene, earlier, build.step(1, 16000, 22_000))
+    await build.submit_job(scene, earlier, build.step(1, 16000, 22_000))
     await curio.sleep(1.0)
     build.cut_off_runs(scene, earlier)
 
@@ -61,7 +61,7 @@
     build.play(scenario)
     settled, wait_s = seen
     assert settled
-    assert wait_s < former.SHORT_WAIT_S + 5.2
+    assert wait_s < previous_leaders.SHORT_WAIT_S + 5.2
 
 
 def test_dead_process_that_starts_again_costs_no_long_wait():
@@ -79,7 +79,7 @@
         seen.append(_max_lease_wait_s(leader, await curio.clock()))
 
     build.play(scenario)
-    assert seen[0] < former.SHORT_WAIT_S + 5.2
+    assert seen[0] < previous_leaders.SHORT_WAIT_S + 5.2
 
 
 def test_refused_connection_is_no_proof_of_an_end():
@@ -95,7 +95,7 @@
         seen.append(_max_lease_wait_s(leader, await curio.clock()))
 
     build.play(scenario)
-    assert seen[0] > confirming.MAX_UNREACHED_S
+    assert seen[0] > confirmation.MAX_UNREACHED_S
 
 
 def test_leader_that_does_not_answer_is_waited_for():
@@ -114,7 +114,7 @@
         seen.append(_max_lease_wait_s(leader, await curio.clock()))
 
     build.play(scenario)
-    assert seen[0] > confirming.MAX_UNREACHED_S
+    assert seen[0] > confirmation.MAX_UNREACHED_S
 
 
 def test_later_leader_knows_which_have_ended():
@@ -139,12 +139,12 @@
         earlier = build.leader(scene)
         state = earlier.state
         leader = state.leader
-        answer = await confirming.contact(
-            state, f'{confirming.PATH}/{leader.term}'
+        answer = await confirmation.answer_contact(
+            state, f'{confirmation.CONTACT_PATH}/{leader.term}'
         )
         seen.append(answer.leading_term == leader.term)
-        answer = await confirming.contact(
-            state, f'{confirming.PATH}/{leader.term + 1}'
+        answer = await confirmation.answer_contact(
+            state, f'{confirmation.CONTACT_PATH}/{leader.term + 1}'
         )
         seen.append(answer.leading_term == 0 and bool(leader.deposed))
 
@@ -152,7 +152,7 @@
     assert seen == [True, True]
 
 
-def test_outage_with_one_dark_server_stops_nobody():
+def test_outage_with_an_unreachable_server_stops_no_leader():
     """Users reported outages of 9.5 s, often with one server unreachable."""
     acted = []
 
@@ -178,7 +178,7 @@
     async def scenario(scene):
         leader = build.leader(scene)
         scene.store.down = 'silent'
-        await curio.sleep(confirming.MAX_UNREACHED_S + 0.1)
+        await curio.sleep(confirmation.MAX_UNREACHED_S + 0.1)
         acted.append(build.may_act(leader))
         scene.store.down = ''
         await curio.sleep(5.0)
@@ -198,8 +198,8 @@
     async def scenario(scene):
         earlier = build.leader(scene)
         last = next(row for row in scene.processes if row is not earlier)
-        answer = await confirming.contact(
-            last.state, f'{confirming.PATH}/{terms[-1]}'
+        answer = await confirmation.answer_contact(
+            last.state, f'{confirmation.CONTACT_PATH}/{terms[-1]}'
         )
         assert answer.leading_term == 0
         for process in scene.processes:
--- a/tests/test_keeping.py
+++ b/tests/test_progress_writer.py
@@ -61,9 +61,11 @@
         for number in range(100):
             if number % 5 == 0:
                 process = build.leader(scene)
-                await build.hand_in(scene, process, build.step(1, 1000, 100))
-            leader.roster_dirty.add('drafts')
-            await leader.unrostered.set()
+                await build.submit_job(
+                    scene, process, build.step(1, 1000, 100)
+                )
+            leader.unwritten_worker_lists.add('drafts')
+            await leader.worker_lists_changed.set()
             await curio.sleep(0.05)
 
     result = build.play(scenario)
--- a/tests/test_queue_changes.py
+++ b/tests/test_queue_changes.py
@@ -39,9 +39,9 @@
         _hold_up_configuration(scene, former)
         # Its present watch has to end first.
         await curio.sleep(1.1)
-        await build.send_queue_to(scene, 'finals')
+        await build.move_queues_to(scene, 'finals')
         await curio.sleep(0.2)
-        await build.hand_in(scene, other, LONG)
+        await build.submit_job(scene, other, LONG)
         await curio.sleep(0.1)
         for spec in scene.callers.world.jobs.values():
             spec['later_services'] = ['finals']
--- a/tests/test_queue_sent_elsewhere.py
+++ b/tests/test_queue_sent_elsewhere.py
@@ -33,7 +33,7 @@
         leader = build.leader(scene)
         other = next(row for row in scene.processes if row is not leader)
         for _ in range(JOBS):
-            await build.hand_in(scene, other, build.step(1, 16000, 2000))
+            await build.submit_job(scene, other, build.step(1, 16000, 2000))
         await curio.sleep(3.0)
         hear = scene.network.handlers[servers.STORE_ADDRESS]
 
@@ -44,7 +44,7 @@
             return await hear(source, method, target, body, headers)
 
         scene.network.handlers[servers.STORE_ADDRESS] = count
-        await build.send_queue_to(scene, 'finals')
+        await build.move_queues_to(scene, 'finals')
         await curio.sleep(1.0)
         scene.network.handlers[servers.STORE_ADDRESS] = hear
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -12,7 +12,7 @@
 
 def _decide(ledger, pool, policy=POLICY):
     known = {name: build.queue(name=name) for name in ('q', 'other')}
-    ready = placing.by_service(ledger, known, lengths.Lengths(), 0.0, 1.0)
+    ready = placing.ready_by_pool(ledger, known, lengths.Lengths(), 0.0, 1.0)
     quotas = quotas_.make(policy, pool, ledger, {})
     return placing.decide(ready.get(build.POOL, []), pool, 1.0, 100, quotas)
 
@@ -44,7 +44,7 @@
 
 
 def test_long_running_tasks_have_no_quota():
-    ledger = build.ledger_with(_job('1' * 16, 6, lasting=True))
+    ledger = build.ledger_with(_job('1' * 16, 6, is_long_running=True))
     assert len(_decide(ledger, [build.worker()])) == 6
 
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -20,36 +20,38 @@
     for number in range(count):
         at_s = from_s + number / per_s
         pool = POOLS[int(at_s / BURST_S) % len(POOLS)]
-        demand.note(history, pool, at_s, core_s)
+        demand.record_arrival(history, pool, at_s, core_s)
 
 
 def test_burst_is_detected_within_its_first_second():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 5.0)
     assert history.by_pool['b'].in_burst
     assert history.by_pool['b'].starts_s[0] <= 5.0
 
 
 def test_burst_ends_when_nothing_arrives():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 4.0)
-    demand.update(history, 'a', 6.0)
+    demand.update_burst_state(history, 'a', 6.0)
     assert not history.by_pool['a'].in_burst
 
 
 def test_burst_is_predicted_from_its_start_and_not_its_detection():
-    history = demand.Turns(pools=frozenset(POOLS), pool_cores={'b': 400.0})
+    history = demand.ArrivalHistory(
+        pools=frozenset(POOLS), pool_cores={'b': 400.0}
+    )
     for number in range(40):
-        demand.note(history, 'a', number * 0.2, 20.0)
+        demand.record_arrival(history, 'a', number * 0.2, 20.0)
     # Large jobs, first one and then two a second.
     for at_s in (8.0, 9.0, 9.6, 10.1, 10.4, 10.6):
-        demand.note(history, 'b', at_s, 60.0)
+        demand.record_arrival(history, 'b', at_s, 60.0)
     assert history.by_pool['b'].starts_s == [8.0]
     assert history.start_gaps_s == [8.0]
 
 
 def test_next_burst_is_predicted_after_one_cycle():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     now_s = 11.0
     _record_bursts(history, now_s)
     first = demand.next_burst(history, 'a', now_s)
@@ -59,21 +61,21 @@
 
 
 def test_nothing_is_predicted_before_a_cycle_is_seen():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     now_s = 3.0
     _record_bursts(history, now_s)
     assert demand.next_burst(history, 'a', now_s) is None
 
 
 def test_single_arrivals_are_no_burst():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     for number in range(10):
-        demand.note(history, 'a', number * 3.0, 20.0)
+        demand.record_arrival(history, 'a', number * 3.0, 20.0)
     assert not history.by_pool['a'].in_burst
 
 
 def test_current_rate_gives_the_cores_it_keeps_busy():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 3.0)
     cores = demand.current_cores(history.by_pool['a'], 2.9)
     assert 80.0 <= cores <= 120.0
@@ -100,7 +102,7 @@
 
 def _decide(pools, standby=None, history=None, now_s=10.0):
     return rebalancing.decide(
-        pools, standby or {}, history or demand.Turns(), MOVE_S, now_s
+        pools, standby or {}, history or demand.ArrivalHistory(), MOVE_S, now_s
     ).moves
 
 
@@ -143,11 +145,11 @@
 
 
 def test_idle_machines_go_to_standby_only_if_their_burst_is_far():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     now_s = 18.0
     _record_bursts(history, now_s)
     for pool in POOLS:
-        demand.update(history, pool, 16.8)
+        demand.update_burst_state(history, pool, 16.8)
     pools = [
         _pool(
             name,
@@ -161,7 +163,7 @@
 
 
 def test_machines_arrive_ahead_of_a_predicted_burst():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 10.9)
     pools = [_pool('a', [_member('m1')])]
     moves = _decide(pools, _standby('s1', 's2', 's3'), history, now_s=10.9)
@@ -169,9 +171,9 @@
 
 
 def test_lull_within_a_burst_starts_no_other():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     for at_s in (0.0, 0.2, 0.4, 0.6, 3.0, 3.2, 3.4, 6.4, 6.6, 6.8):
-        demand.note(history, 'a', at_s, 20.0)
+        demand.record_arrival(history, 'a', at_s, 20.0)
     assert len(history.by_pool['a'].starts_s) == 1
     assert demand.next_burst(history, 'a', 7.0) is None
 
@@ -187,32 +189,32 @@
 
 
 def test_pool_lends_machines_during_a_burst_of_another():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 2.0)
     assert _count_lent(history, 2.0) == 5
 
 
 def test_pool_keeps_its_machines_when_its_first_burst_may_start():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 2.0)
-    demand.update(history, 'a', 4.0)
+    demand.update_burst_state(history, 'a', 4.0)
     # The burst of pool a is over, and another pool follows; which one is
     # unknown.
     assert _count_lent(history, 4.0) == 0
 
 
 def test_pool_keeps_its_machines_once_a_burst_is_as_long_as_others():
-    history = demand.Turns(pools=frozenset((*POOLS, 'd')))
+    history = demand.ArrivalHistory(pools=frozenset((*POOLS, 'd')))
     for pool, start_s in (('c', 0.0), ('d', 8.0)):
         for number in range(30):
-            demand.note(history, pool, start_s + number * 0.2, 20.0)
+            demand.record_arrival(history, pool, start_s + number * 0.2, 20.0)
     began_s = history.by_pool['d'].starts_s[0]
     assert _count_lent(history, began_s + 4.0) == 5
     assert _count_lent(history, began_s + 7.0) == 0
 
 
 def test_present_need_goes_before_a_predicted_burst():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     now_s = 23.0
     _record_bursts(history, now_s)
     waiting = _pool('a', [_member(f'n{i}', now_s=now_s) for i in range(4)])
@@ -229,11 +231,11 @@
 
 
 def test_weights_set_how_long_an_idle_machine_waits_for_a_burst():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     now_s = 18.0
     _record_bursts(history, now_s)
     for pool in POOLS:
-        demand.update(history, pool, 16.8)
+        demand.update_burst_state(history, pool, 16.8)
     members = [_member(f'a{i}', now_s=now_s, idle_s=3.0) for i in range(4)]
 
     def sent_to_standby(**weights):
@@ -253,9 +255,9 @@
 
 
 def test_first_burst_gets_machines_before_it_can_be_measured():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     for at_s in (0.0, 0.2, 0.3):
-        demand.note(history, 'a', at_s, 20.0)
+        demand.record_arrival(history, 'a', at_s, 20.0)
     assert history.by_pool['a'].in_burst
     pool = _pool('a', [_member(f'm{i}') for i in range(6)], busy_cores=20.0)
     pool.first_size = 6
@@ -266,9 +268,9 @@
 
 
 def test_burst_that_can_be_measured_is_sized_by_measurement():
-    history = demand.Turns(pools=frozenset('a'))
+    history = demand.ArrivalHistory(pools=frozenset('a'))
     for number in range(30):
-        demand.note(history, 'a', number * 0.2, 4.0)
+        demand.record_arrival(history, 'a', number * 0.2, 4.0)
     pool = _pool('a', [_member(f'm{i}') for i in range(6)], busy_cores=20.0)
     pool.first_size = 6
     assert history.by_pool['a'].in_burst
@@ -276,10 +278,10 @@
 
 
 def test_one_huge_job_does_not_count_as_a_rate():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 3.0)
     before = demand.expected_cores(history.by_pool['a'], 3.0)
-    demand.note(history, 'a', 3.0, 400.0)
+    demand.record_arrival(history, 'a', 3.0, 400.0)
     after = demand.expected_cores(history.by_pool['a'], 3.0)
     # Sizes of jobs differ by several times; this job of 400 core-seconds came
     # after 300 core-seconds in all.
@@ -287,7 +289,7 @@
 
 
 def test_machine_that_a_burst_did_not_need_goes_to_standby():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 3.5)
     now_s = 3.5
     busy = [_member(f'b{i}', busy=True) for i in range(14)]
@@ -305,10 +307,10 @@
 
 
 def test_burst_that_did_not_come_keeps_no_machine():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 11.9)
     for pool in POOLS:
-        demand.update(history, pool, 14.0)
+        demand.update_burst_state(history, pool, 14.0)
     assert demand.next_burst(history, 'a', 12.5) is not None
     assert demand.next_burst(history, 'a', 18.0) is None
     members = [_member(f'a{i}', now_s=18.0) for i in range(3)]
@@ -335,10 +337,10 @@
 
     The pool had six machines at first, and no burst yet.
     """
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, min(now_s, 3.0))
     if ended_s is not None:
-        demand.update(history, 'a', ended_s)
+        demand.update_burst_state(history, 'a', ended_s)
     pool = _pool('b', [_member(f'n{i}', now_s=now_s) for i in range(8)])
     pool.first_size = 6
     return len(_decide([pool], {OFF: []}, history, now_s=now_s))
@@ -355,12 +357,12 @@
 
 
 def test_first_burst_is_expected_to_be_as_large_as_others():
-    history = demand.Turns(
+    history = demand.ArrivalHistory(
         pools=frozenset(POOLS), pool_cores={'a': 100.0, 'b': 48.0}
     )
     _record_bursts(history, 4.0)
     for at_s in (4.0, 4.1, 4.2, 4.3):
-        demand.note(history, 'b', at_s, 20.0)
+        demand.record_arrival(history, 'b', at_s, 20.0)
     # A burst of 80 to 100 cores on a pool of 100; pool b has six machines of
     # eight cores.
     seen = demand.largest_burst_share(history)
@@ -373,21 +375,23 @@
 
 
 def test_chance_arrivals_of_small_jobs_are_no_burst():
-    history = demand.Turns(pools=frozenset(POOLS), pool_cores={'a': 400.0})
+    history = demand.ArrivalHistory(
+        pools=frozenset(POOLS), pool_cores={'a': 400.0}
+    )
     for at_s in (2.0, 3.0, 4.0, 4.6):
-        demand.note(history, 'a', at_s, 20.0)
+        demand.record_arrival(history, 'a', at_s, 20.0)
     # 1.7 jobs a second of 20 core-seconds keep a twelfth of the pool's cores
     # busy.
     assert not history.by_pool['a'].in_burst
     for number in range(12):
-        demand.note(history, 'a', 16.0 + number * 0.1, 20.0)
+        demand.record_arrival(history, 'a', 16.0 + number * 0.1, 20.0)
     assert history.by_pool['a'].in_burst
 
 
 def test_machines_for_a_first_burst_come_when_it_may_start():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 2.0)
-    demand.update(history, 'a', 4.0)
+    demand.update_burst_state(history, 'a', 4.0)
     pools = []
     for name in ('b', 'c'):
         members = [_member(f'{name}{i}', now_s=4.0) for i in range(3)]
@@ -401,13 +405,13 @@
 
 
 def test_uneven_bursts_are_expected_from_shortest_to_longest_gap():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     starts = {'a': 0.0, 'b': 8.0, 'c': 20.0}
     for pool, start_s in starts.items():
         for number in range(10):
-            demand.note(history, pool, start_s + number * 0.2, 20.0)
+            demand.record_arrival(history, pool, start_s + number * 0.2, 20.0)
     for pool in POOLS:
-        demand.update(history, pool, 25.0)
+        demand.update_burst_state(history, pool, 25.0)
     found = demand.next_burst(history, 'a', 25.0)
     assert abs(found.earliest_s - 28.0) < 1.0
     assert abs(found.latest_s - 32.0) < 1.0
@@ -417,9 +421,9 @@
 
 
 def test_all_machines_that_a_burst_lacks_move_in_one_pass():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     for at_s in (0.0, 0.2, 0.3):
-        demand.note(history, 'a', at_s, 20.0)
+        demand.record_arrival(history, 'a', at_s, 20.0)
     pool = _pool('a', [_member(f'm{i}') for i in range(40)])
     pool.first_size = 40
     rest = _standby(*(f's{i}' for i in range(50)))
@@ -427,7 +431,7 @@
 
 
 def test_burst_counts_at_its_expected_peak_while_it_ramps_up():
-    history = demand.Turns(pools=frozenset(POOLS))
+    history = demand.ArrivalHistory(pools=frozenset(POOLS))
     _record_bursts(history, 3.0, per_s=3.0, core_s=4.0)
     pool = _pool('a', [_member(f'm{i}') for i in range(6)], busy_cores=20.0)
     pool.first_size = 6
@@ -436,12 +440,12 @@
 
 
 def test_rate_of_a_large_fleet_follows_its_rise_within_a_second():
-    history = demand.Turns(pools=frozenset('a'))
+    history = demand.ArrivalHistory(pools=frozenset('a'))
     for number in range(160):
-        demand.note(history, 'a', number * 0.025, 10.0)
+        demand.record_arrival(history, 'a', number * 0.025, 10.0)
     steady = demand.expected_cores(history.by_pool['a'], 4.0)
     for number in range(90):
-        demand.note(history, 'a', 4.0 + number * 0.0083, 10.0)
+        demand.record_arrival(history, 'a', 4.0 + number * 0.0083, 10.0)
     risen = demand.expected_cores(history.by_pool['a'], 4.75)
     # The rate is three times as high, and machines take 1.5 s to arrive.
     assert risen > 2.5 * steady
@@ -461,9 +465,15 @@
         rebalancing.Member(f'm{number}', 8.0, None, unavailable_cores=cores)
         for number, cores in enumerate(unavailable_cores)
     ]
-    rows = [backlog.Waiting(waiting_cores, 3.0, 0.0)] if waiting_cores else []
+    rows = (
+        [backlog.WaitingTasks(waiting_cores, 3.0, 0.0)]
+        if waiting_cores
+        else []
+    )
     pool = rebalancing.PoolView(ids.ServiceId('a'), members, waiting=rows)
-    decision = rebalancing.decide([pool], {}, demand.Turns(), MOVE_S, 10.0)
+    decision = rebalancing.decide(
+        [pool], {}, demand.ArrivalHistory(), MOVE_S, 10.0
+    )
     return decision.needs['a'].now
 
 
--- a/tests/test_refused_entries.py
+++ b/tests/test_refused_entries.py
@@ -88,14 +88,14 @@
 
 
 def test_memory_of_refused_entries_is_bounded():
-    book = entries_.Book()
-    most = entries_.MOST_REFUSED
+    book = entries_.UnusedEntries()
+    most = entries_.MAX_REFUSED
     told = [
-        entries_.note_refusal(book, f'i-{number}', 'why')
+        entries_.record_refusal(book, f'i-{number}', 'why')
         for number in range(most + 50)
     ]
     assert sum(told) == most == len(book.refused)
     entries_.forget(book, 'i-0')
-    assert entries_.note_refusal(book, f'i-{most}', 'why')
-    entries_.keep_only(book, ['i-1'])
+    assert entries_.record_refusal(book, f'i-{most}', 'why')
+    entries_.forget_unlisted(book, ['i-1'])
     assert set(book.refused) == {'i-1'}
--- a/tests/test_relocating.py
+++ b/tests/test_relocating.py
@@ -35,14 +35,14 @@
     waves: list[bool] = []
 
     async def scenario(scene):
-        build.note_starts(scene, starts)
+        build.record_starts(scene, starts)
         leader = build.leader(scene)
         memory_mb = scene.fleet.memory_mb
-        await build.hand_in(
+        await build.submit_job(
             scene, leader, _long_running(2, memory_mb * 2 // 5)
         )
         await curio.sleep(1.0)
-        await build.hand_in(
+        await build.submit_job(
             scene, leader, _long_running(1, memory_mb * 4 // 5)
         )
         await curio.sleep(2.0)
--- a/tests/test_restart_defects.py
+++ b/tests/test_restart_defects.py
@@ -14,13 +14,15 @@
 from oleanderwood.leading import state as states
 from oleanderwood.leading import worker_loop
 from oleanderwood.pools import fences
-from oleanderwood.pools import lives
+from oleanderwood.pools import incarnations
 from oleanderwood.pools import workers
 from tests import utils_restarts
 
 
 def _ids_are_lives(patch):
-    patch.setattr(lives, 'life', lambda executor, born: executor)
+    patch.setattr(
+        incarnations, 'incarnation_name', lambda executor, born: executor
+    )
 
 
 def _ends_are_kept(patch):
@@ -28,41 +30,41 @@
 
     def supersede(leader, previous, worker, report):
         worker.seen_end = max(worker.seen_end, previous.seen_end)
-        worker.kept_end = max(worker.kept_end, previous.kept_end)
+        worker.stored_end = max(worker.stored_end, previous.stored_end)
         return real(leader, previous, worker, report)
 
     patch.setattr(restarts, '_supersede', supersede)
 
 
 def _clock_is_kept(patch):
-    real = workers.note_answer
+    real = workers.record_answer
     first = {}
 
     def note(worker, report, now_s):
         real(worker, report, now_s)
-        name = lives.executor(worker.entry.worker)
+        name = incarnations.executor_of(worker.entry.worker)
         clock_ms, at_s = first.setdefault(name, (report.own_clock_ms, now_s))
         worker.own_clock_ms = clock_ms + (now_s - at_s) * 1000
 
-    patch.setattr(workers, 'note_answer', note)
+    patch.setattr(workers, 'record_answer', note)
 
 
 def _all_is_over(patch):
     def succeed(ledger, previous, worker, report, now_s):
-        workers.lost(ledger, previous, now_s)
+        workers.end_all_runs(ledger, previous, now_s)
         return []
 
-    patch.setattr(workers, 'succeed', succeed)
+    patch.setattr(workers, 'transfer_runs', succeed)
 
 
 def _stops_are_kept(patch):
-    real = workers.succeed
+    real = workers.transfer_runs
 
     def succeed(*args):
         real(*args)
         return []
 
-    patch.setattr(workers, 'succeed', succeed)
+    patch.setattr(workers, 'transfer_runs', succeed)
 
 
 def _each_look_acknowledges(patch):
--- a/tests/test_restart_moments.py
+++ b/tests/test_restart_moments.py
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize('away_s', AWAY_S)
 def test_one_of_a_gangs_executors_starts_again(away_s):
     async def scenario(scene):
-        await build.hand_in(scene, build.leader(scene), GANG)
+        await build.submit_job(scene, build.leader(scene), GANG)
         await curio.sleep(0.5)
         await _restart(scene, _busy(scene)[1], away_s)
 
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize('away_s', AWAY_S)
 def test_executor_starts_again_while_it_drains(away_s):
     async def scenario(scene):
-        await build.hand_in(scene, build.leader(scene), utils_restarts.LONG)
+        await build.submit_job(scene, build.leader(scene), utils_restarts.LONG)
         await curio.sleep(0.5)
         (machine,) = _busy(scene)
         await curio.spawn(fleets.drain, scene.fleet, machine, daemon=True)
@@ -97,9 +97,9 @@
 
     async def scenario(scene):
         leader = build.leader(scene)
-        await build.hand_in(scene, leader, serving)
+        await build.submit_job(scene, leader, serving)
         await curio.sleep(1.0)
-        await build.hand_in(scene, leader, filling)
+        await build.submit_job(scene, leader, filling)
         await curio.sleep(1.0)
         await _restart(scene, _busy(scene)[0], away_s)
 
@@ -111,7 +111,7 @@
     step = {**build.step(4, 2000, 400), crashing.FIELD: crashing.crash(0.3)}
 
     async def scenario(scene):
-        await build.hand_in(scene, build.leader(scene), step)
+        await build.submit_job(scene, build.leader(scene), step)
         await curio.sleep(0.1)
         for machine in _busy(scene):
             await _restart(scene, machine, away_s)
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize('away_s', AWAY_S)
 def test_executor_starts_again_at_another_address(away_s):
     async def scenario(scene):
-        await build.hand_in(scene, build.leader(scene), utils_restarts.LONG)
+        await build.submit_job(scene, build.leader(scene), utils_restarts.LONG)
         await curio.sleep(0.5)
         (machine,) = _busy(scene)
         old_address = machine.address
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -19,7 +19,7 @@
 from emulator import servers
 from emulator import store as stores
 from oleanderwood.leading import restarts as restarts_
-from oleanderwood.pools import lives
+from oleanderwood.pools import incarnations
 from tests import utils_jobs as jobs
 from tests import utils_leading
 from tests import utils_restarts as restarts
@@ -36,7 +36,7 @@
     times_s = []
 
     async def scenario(scene):
-        begun = await restarts.begin(scene, restarts.LONG)
+        begun = await restarts.start_job(scene, restarts.LONG)
         await restarts.restart(scene, begun[0], away_s)
         times_s.append(await restarts.wait_for_second_start(scene, begun))
 
@@ -50,7 +50,7 @@
     times_s = []
 
     async def scenario(scene):
-        begun = await restarts.begin(scene, restarts.LONG)
+        begun = await restarts.start_job(scene, restarts.LONG)
         await restarts.restart(scene, begun[0], 0.05, resets=True)
         times_s.append(await restarts.wait_for_second_start(scene, begun))
 
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize('away_s', [0.05, 2.0])
 def test_entry_of_the_earlier_incarnation_that_comes_last(away_s):
     async def scenario(scene):
-        begun = await restarts.begin(scene, restarts.LONG)
+        begun = await restarts.start_job(scene, restarts.LONG)
         await restarts.restart(scene, begun[0], away_s, late_entry=True)
         await curio.sleep(5.0)
 
@@ -96,7 +96,7 @@
 
 def test_two_restarts_in_a_row():
     async def scenario(scene):
-        begun = await restarts.begin(scene, restarts.LONG)
+        begun = await restarts.start_job(scene, restarts.LONG)
         await restarts.restart(scene, begun[0], 0.05)
         await curio.sleep(0.1)
         await restarts.restart(scene, begun[0], 0.05)
@@ -123,18 +123,18 @@
 def test_crossing_answers_leave_open_which_incarnation_is_later():
     """One incarnation answered after the call that the other answers."""
     previous = jobs.worker('w1/1')
-    previous.met_s, previous.clock_at_s = 1.0, 5.0
+    previous.first_contact_s, previous.clock_at_s = 1.0, 5.0
     assert not restarts_.is_earlier(previous, 4.9)
     assert restarts_.is_earlier(previous, 5.0)
     never = jobs.worker('w1/2')
-    never.met_s = 3.0
+    never.first_contact_s = 3.0
     assert not restarts_.is_earlier(never, 2.9)
     assert restarts_.is_earlier(never, 3.1)
 
 
 def test_restart_while_the_store_is_away():
     async def scenario(scene):
-        begun = await restarts.begin(scene, restarts.LONG)
+        begun = await restarts.start_job(scene, restarts.LONG)
         scene.store.down = 'silent'
         await curio.sleep(1.0)
         await restarts.restart(scene, begun[0], 0.3)
@@ -150,7 +150,7 @@
     seen = []
 
     async def scenario(scene):
-        begun = await restarts.begin(scene, restarts.LONG)
+        begun = await restarts.start_job(scene, restarts.LONG)
         machine = restarts.machine_at(scene, begun[0])
         machine.pool = 'finals'
         machine.rack, machine.kind = 'r9', 'b'
@@ -189,7 +189,7 @@
         await curio.sleep(1.0)
         leader = build.leader(scene).state.leader
         listed = [
-            lives.executor(worker.entry.worker)
+            incarnations.executor_of(worker.entry.worker)
             for worker in leader.workers.values()
             if worker.listed
         ]
--- a/tests/test_woken_leader.py
+++ b/tests/test_resumed_leader.py
@@ -50,7 +50,7 @@
         scene.network.handlers[machine.address] = handle
 
 
-def test_woken_leader_gives_no_lease_for_an_unanswered_start():
+def test_resumed_leader_gives_no_lease_for_an_unanswered_start():
     suspended_at = []
 
     async def scenario(scene):
@@ -69,8 +69,8 @@
             await virtual.forever()
 
         _on_start_of(scene, LONG_JOB, suspend)
-        await build.hand_in(scene, other, BRIEF)
-        await build.hand_in(scene, other, LONG)
+        await build.submit_job(scene, other, BRIEF)
+        await build.submit_job(scene, other, LONG)
 
     result = build.play(scenario)
     assert suspended_at
--- a/tests/test_revoked_keys.py
+++ b/tests/test_revoked_keys.py
@@ -89,9 +89,9 @@
             if other is not row:
                 # No other server can judge for it either.
                 other.state.configuration_readable = False
-                other.state.configuration_proven_s = -1e9
+                other.state.configuration_confirmed_s = -1e9
         last_s = await _served_for_s(world, row, build.FIRST)
-        return last_s, forwarding.store_lost(row.state)
+        return last_s, forwarding.is_store_lost(row.state)
 
     last_s, lost = build.run(main)
     assert last_s < REVOCATION_S and not lost
@@ -218,10 +218,10 @@
 def test_trust_is_counted_from_when_a_reading_was_sent():
     async def main(world, rows):
         server = rows[0].state
-        server.configuration_proven_s = -1e9
-        freshness.note_reading(server, 3.0)
-        freshness.note_reading(server, 2.0)
-        return server.configuration_proven_s
+        server.configuration_confirmed_s = -1e9
+        freshness.record_reading(server, 3.0)
+        freshness.record_reading(server, 2.0)
+        return server.configuration_confirmed_s
 
     assert build.run(main) == 3.0
 
--- a/tests/test_rolling.py
+++ b/tests/test_rolling.py
@@ -29,12 +29,12 @@
 
 def _start_long_running(*workers, tasks, **fields):
     """Start a step of long-running tasks on some workers, round robin."""
-    step = build.step(tasks, lasting=True, **fields)
+    step = build.step(tasks, is_long_running=True, **fields)
     ledger = build.ledger_with(build.job(step))
     for index in range(tasks):
         worker = workers[index % len(workers)]
         run = build.start(ledger, build.task(ledger, 0, index), worker)
-        run.at_work_since_s = 1.0
+        run.serving_since_s = 1.0
     return ledger
 
 
@@ -46,7 +46,7 @@
 
 def test_machines_that_are_down_count():
     progress = _progress('a', 'b', 'c', max_down=2)
-    progress.down['a'] = rolling.Ordered('w-a', 9.0, True)
+    progress.down['a'] = rolling.MaintenanceOrder('w-a', 9.0, True)
     progress.begun.add('a')
     decision = _decide(progress, _machines('a', 'b', 'c'))
     assert len(decision.order) == 1
@@ -80,7 +80,7 @@
     build.start(ledger, build.task(ledger), worker)
     decision = _decide(progress, _machines('a'), {'a': worker})
     assert not decision.order and decision.close == {'a'}
-    workers_.lost(ledger, worker, 2.0)
+    workers_.end_all_runs(ledger, worker, 2.0)
     decision = _decide(progress, _machines('a'), {'a': worker})
     assert decision.order == ['a']
 
@@ -96,22 +96,22 @@
 
 def test_long_running_tasks_stay_within_their_budget():
     first, second = build.worker('w1'), build.worker('w2')
-    _start_long_running(first, second, tasks=2, most_away=1)
-    assert disruption_budget.may_end_all(first, 10.0)
-    disruption_budget.note_order(first, 10.0)
-    assert not disruption_budget.may_end_all(second, 10.0)
+    _start_long_running(first, second, tasks=2, max_unavailable=1)
+    assert disruption_budget.may_interrupt_all(first, 10.0)
+    disruption_budget.mark_unavailable(first, 10.0)
+    assert not disruption_budget.may_interrupt_all(second, 10.0)
 
 
 def test_orders_of_one_pass_share_the_budget():
     first, second = build.worker('w1'), build.worker('w2')
-    _start_long_running(first, second, tasks=2, most_away=1)
+    _start_long_running(first, second, tasks=2, max_unavailable=1)
     progress = _progress('a', 'b', max_down=2)
     workers = {'a': first, 'b': second}
     decision = _decide(progress, _machines('a', 'b'), workers)
     done = []
     for name in decision.order:
-        if disruption_budget.may_end_all(workers[name], 10.0):
-            disruption_budget.note_order(workers[name], 10.0)
+        if disruption_budget.may_interrupt_all(workers[name], 10.0):
+            disruption_budget.mark_unavailable(workers[name], 10.0)
             done.append(name)
     assert len(done) == 1
 
@@ -120,18 +120,18 @@
     worker = build.worker()
     ledger = _start_long_running(worker, tasks=1)
     run = build.task(ledger).run
-    run.at_work_since_s = 9.9
+    run.serving_since_s = 9.9
     assert not disruption_budget.is_working(build.task(ledger), 10.0)
     assert disruption_budget.is_working(build.task(ledger), 10.5)
 
 
 def test_machine_with_too_many_tasks_of_a_step_has_one_relocated():
     first, second = build.worker('w1'), build.worker('w2')
-    ledger = _start_long_running(first, second, tasks=4, most_away=1)
+    ledger = _start_long_running(first, second, tasks=4, max_unavailable=1)
     decision = _decide(_progress('a'), _machines('a'), {'a': first})
     assert not decision.order
     assert decision.relocate in set(first.runs.values())
-    build.task(ledger, 0, 1).run.at_work_since_s = None
+    build.task(ledger, 0, 1).run.serving_since_s = None
     decision = _decide(_progress('a'), _machines('a'), {'a': first})
     assert decision.relocate is None
 
@@ -139,9 +139,9 @@
 def test_wave_is_completed_when_all_are_back():
     progress = _progress('a')
     progress.begun.add('a')
-    progress.down['a'] = rolling.Ordered('w-a', 9.0, True)
+    progress.down['a'] = rolling.MaintenanceOrder('w-a', 9.0, True)
     assert not _decide(progress, _machines('a')).completed
-    rolling.note_returns(
+    rolling.remove_returned(
         progress, _list_with_new_worker('a'), 11.2, MAINTENANCE_S
     )
     assert _decide(progress, _machines('a')).completed
@@ -155,18 +155,18 @@
 
 def test_machine_that_is_off_returns_by_time():
     progress = _progress('a')
-    progress.down['a'] = rolling.Ordered('', 9.0, True)
+    progress.down['a'] = rolling.MaintenanceOrder('', 9.0, True)
     machines = {'a': fleet.Machine('a', build.POOL, fleet.State.UP)}
-    rolling.note_returns(progress, machines, 10.0, MAINTENANCE_S)
+    rolling.remove_returned(progress, machines, 10.0, MAINTENANCE_S)
     assert progress.down
-    rolling.note_returns(progress, machines, 12.0, MAINTENANCE_S)
+    rolling.remove_returned(progress, machines, 12.0, MAINTENANCE_S)
     assert not progress.down
 
 
 def test_order_without_an_answer_stays_counted():
     progress = _progress('a')
-    progress.down['a'] = rolling.Ordered('w-a', 9.0)
-    rolling.note_returns(
+    progress.down['a'] = rolling.MaintenanceOrder('w-a', 9.0)
+    rolling.remove_returned(
         progress, _list_with_new_worker('a'), 20.0, MAINTENANCE_S
     )
     assert progress.down
@@ -174,18 +174,18 @@
 
 def test_tasks_taken_over_from_a_previous_leader_count_as_working():
     worker = build.worker('w1')
-    ledger = _start_long_running(worker, tasks=2, most_away=1)
+    ledger = _start_long_running(worker, tasks=2, max_unavailable=1)
     for index in range(2):
-        build.task(ledger, 0, index).run.at_work_since_s = 9.95
-    assert not disruption_budget.may_end_all(worker, 10.0)
+        build.task(ledger, 0, index).run.serving_since_s = 9.95
+    assert not disruption_budget.may_interrupt_all(worker, 10.0)
 
 
 def test_tasks_that_started_up_at_the_last_report_count_as_working():
     worker = build.worker('w1')
-    ledger = _start_long_running(worker, tasks=2, most_away=1)
+    ledger = _start_long_running(worker, tasks=2, max_unavailable=1)
     for index in range(2):
-        build.task(ledger, 0, index).run.at_work_since_s = None
-    assert not disruption_budget.may_end_all(worker, 10.0)
+        build.task(ledger, 0, index).run.serving_since_s = None
+    assert not disruption_budget.may_interrupt_all(worker, 10.0)
 
 
 def test_machine_whose_worker_has_not_answered_stays_up():
@@ -219,7 +219,7 @@
     decision = _decide_within(progress, machines, min_up=required)
     assert decision.order == ['a']
     assert decision.waits['b'] == 'its pool has no machine to spare'
-    progress.down['c'] = rolling.Ordered('w-c', 9.0, True)
+    progress.down['c'] = rolling.MaintenanceOrder('w-c', 9.0, True)
     assert not _decide_within(progress, machines, min_up=required).order
 
 
@@ -266,7 +266,7 @@
 def test_machines_with_long_running_tasks_go_before_idle_ones():
     """Other machines of their step wait for them; none waits for idle ones."""
     serving = build.worker('w-c')
-    _start_long_running(serving, tasks=1, most_away=2)
+    _start_long_running(serving, tasks=1, max_unavailable=2)
     idle = build.worker('w-a')
     decision = _decide(
         _progress('a', 'b', 'c', max_down=1),
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -46,7 +46,7 @@
         # Jobs are submitted to another server, as the leader may die.
         other = next(row for row in scene.processes if row is not leader)
         for _ in scene.fleet.machines:
-            await build.hand_in(scene, other, WHOLE_MACHINE)
+            await build.submit_job(scene, other, WHOLE_MACHINE)
         await curio.sleep(0.4)
         scene.store.slow_s = slow_s
         await curio.sleep(3.0)
@@ -117,7 +117,7 @@
         for name in scene.fleet.machines:
             build.on_start(scene, name, lambda name=name: note(name))
         for _ in scene.fleet.machines:
-            await build.hand_in(scene, build.leader(scene), WHOLE_MACHINE)
+            await build.submit_job(scene, build.leader(scene), WHOLE_MACHINE)
 
     result = build.play(scenario)
     assert not result.breaches and not result.unfinished
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -56,7 +56,7 @@
 def test_search_finds_a_start_that_is_taken_for_not_run(monkeypatch):
     async def forget(leader, worker, task, run, error):
         if task.run is run:
-            await dispatch._not_started(leader, worker, task, 'lost')
+            await dispatch._requeue_unstarted(leader, worker, task, 'lost')
 
     monkeypatch.setattr(dispatch, '_start_unanswered', forget)
     fates = (networks.Fate.ANSWER_LOST, networks.Fate.LATE)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -33,13 +33,13 @@
 def _order(ledger, workers=(), known=None, weights=None):
     limits = {LARGE: tenants_.Limit(), SMALL: tenants_.Limit()}
     quotas = quotas_.make(policies.Policy(), workers, ledger, limits)
-    ready = placing.by_service(
+    ready = placing.ready_by_pool(
         ledger,
         known or {'q': build.queue()},
         lengths.Lengths(),
         0.0,
         1.0,
-        in_turn=lambda groups: shares.in_turn(
+        in_turn=lambda groups: shares.order_by_share(
             groups, quotas, weights or WEIGHTS, WHOLE
         ),
     )
@@ -68,7 +68,7 @@
 
 def test_only_tenant_gets_all_free_capacity():
     ledger = _ledger([LARGE] * 8)
-    ready = placing.by_service(
+    ready = placing.ready_by_pool(
         ledger, {'q': build.queue()}, lengths.Lengths(), 0.0, 1.0
     )
     decided = placing.decide(
@@ -81,7 +81,7 @@
     ledger = _ledger([LARGE, SMALL] * 5)
     quotas = quotas_.Quotas()
     groups = [entry.groups[0, 0] for entry in ledger.entries.values()]
-    ordered = shares.in_turn(groups, quotas, WEIGHTS, WHOLE)
+    ordered = shares.order_by_share(groups, quotas, WEIGHTS, WHOLE)
     for tenant in (LARGE, SMALL):
         rows = [row for row in ordered if row.entry.job.tenant == tenant]
         assert rows == [row for row in groups if row in rows]
@@ -102,7 +102,7 @@
 def test_jobs_beyond_the_rate_come_last():
     ledger = _ledger([LARGE] * 5 + [SMALL])
     for number, entry in enumerate(ledger.entries.values()):
-        entry.beyond = number < 5
+        entry.over_rate = number < 5
     assert _order(ledger)[0] == SMALL
 
 
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -14,7 +14,7 @@
 
 
 def _fits_nowhere(group, pool):
-    return shortage.fits_nowhere(group, shortage.idle_rooms(pool))
+    return shortage.fits_nowhere(group, shortage.idle_capacity(pool))
 
 
 def test_gang_that_is_larger_than_its_pool_fits_nowhere():
@@ -35,7 +35,7 @@
 def test_long_running_tasks_use_resources():
     group = _group(build.step(2, cpu=5000, gang=True))
     pool = [build.worker('w1'), build.worker('w2')]
-    step = build.step(cpu=4000, lasting=True)
+    step = build.step(cpu=4000, is_long_running=True)
     long_running = build.ledger_with(build.job(step, name='1' * 16))
     build.start(long_running, build.task(long_running, name='1' * 16), pool[0])
     assert _fits_nowhere(group, pool)
@@ -43,7 +43,7 @@
 
 def test_step_without_a_worker_of_its_kind_fits_nowhere():
     group = _group(build.step(label='b'))
-    assert shortage.is_particular(group)
+    assert shortage.has_placement_constraint(group)
     assert _fits_nowhere(group, [build.worker('w1')])
     fitting = build.worker('w2', labels=('b', 'r1'))
     assert not _fits_nowhere(group, [build.worker('w1'), fitting])
@@ -51,9 +51,9 @@
 
 def test_step_that_advice_allows_nowhere_fits_nowhere():
     group = _group(build.step())
-    assert not shortage.is_particular(group)
+    assert not shortage.has_placement_constraint(group)
     group.tickets = {}
-    assert shortage.is_particular(group)
+    assert shortage.has_placement_constraint(group)
     assert _fits_nowhere(group, [build.worker('w1')])
     group.tickets = {'w1': 'ticket'}
     assert not _fits_nowhere(group, [build.worker('w1')])
@@ -68,10 +68,14 @@
 
 
 def _decide(*members):
-    view = rebalancing.PoolView(build.POOL, list(members), lacks_kind=True)
+    view = rebalancing.PoolView(
+        build.POOL, list(members), lacks_suitable_machine=True
+    )
     off = ids.ServiceId('off')
     standby = {off: [rebalancing.Member('m9', 8.0, None)]}
-    return rebalancing.decide([view], standby, demand.Turns(), 1.5, 5.0).moves
+    return rebalancing.decide(
+        [view], standby, demand.ArrivalHistory(), 1.5, 5.0
+    ).moves
 
 
 def test_machine_holds_as_many_as_its_scarcest_resource_and_the_limit():
@@ -84,7 +88,9 @@
 
 def test_check_uses_no_resources():
     group = _group(build.step(2, cpu=5000, gang=True))
-    candidates = shortage.idle_rooms([build.worker('w1'), build.worker('w2')])
+    candidates = shortage.idle_capacity(
+        [build.worker('w1'), build.worker('w2')]
+    )
     assert not shortage.fits_nowhere(group, candidates)
     assert not shortage.fits_nowhere(group, candidates)
 
--- a/tests/test_shortage_cost.py
+++ b/tests/test_shortage_cost.py
@@ -29,7 +29,7 @@
 
 def test_free_capacity_is_computed_once_a_pass_and_not_per_step(monkeypatch):
     built = []
-    real = shortage._idle
+    real = shortage._idle_capacity
 
     def idle(worker):
         built.append(worker)
@@ -49,6 +49,6 @@
         pool_loop._note_demand(leader, {build.POOL: view}, now_s)
         assert len(view.waiting) == STEPS
 
-    monkeypatch.setattr(shortage, '_idle', idle)
+    monkeypatch.setattr(shortage, '_idle_capacity', idle)
     servers.run(main, CONFIGURATION)
     assert 0 < len(built) <= MAX_COMPUTED
--- a/tests/test_shrunk_rooms.py
+++ b/tests/test_shrunk_rooms.py
@@ -60,10 +60,10 @@
     ledgers.add(ledger, small, 0.0)
     worker = build.worker()
     assert _placed(ledger, worker, 9.0)
-    workers_.note_no_room(worker, model.Resources(2000, 100), 9.0)
+    workers_.record_rejection(worker, model.Resources(2000, 100), 9.0)
     assert not _placed(ledger, worker, 9.1)
     assert _placed(ledger, worker, 9.1, 'b' * 16)
-    assert _placed(ledger, worker, 9.0 + workers_.REFUSED_S)
+    assert _placed(ledger, worker, 9.0 + workers_.REJECTION_MEMORY_S)
 
 
 def test_rooms_are_followed_both_ways():
--- a/tests/test_slow_gang_member.py
+++ b/tests/test_slow_gang_member.py
@@ -19,16 +19,16 @@
     workers = [build.worker('w1'), build.worker('w2')]
     for index, worker in enumerate(workers):
         run = build.start(ledger, build.task(ledger, 0, index), worker)
-        run.moved_on_s = moved_on_s[index]
+        run.last_progress_s = moved_on_s[index]
     return workers
 
 
 def test_member_that_waits_for_others_has_not_stalled():
     first, second = _gang([1.0, 9.5])
-    assert stalls.stalled(first, 10.0) == []
-    assert stalls.stalled(second, 10.0) == []
+    assert stalls.stalled_tasks(first, 10.0) == []
+    assert stalls.stalled_tasks(second, 10.0) == []
 
 
 def test_gang_without_any_progress_has_stalled():
     first, _second = _gang([1.0, 2.0])
-    assert len(stalls.stalled(first, 10.0)) == 1
+    assert len(stalls.stalled_tasks(first, 10.0)) == 1
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -88,10 +88,10 @@
             return await handler(source, method, target, *rest)
 
         scene.network.handlers[servers.STORE_ADDRESS] = note
-        await build.hand_in(scene, earlier, build.step(1, 1000, 300))
+        await build.submit_job(scene, earlier, build.step(1, 1000, 300))
         earlier.state.stopping = True
         await curio.sleep(2.0)
-        await build.hand_in(
+        await build.submit_job(
             scene, build.leader(scene), build.step(1, 1000, 300)
         )
 
--- a/tests/test_slowness.py
+++ b/tests/test_slowness.py
@@ -19,14 +19,14 @@
         task = build.task(ledger, number)
         run = build.start(ledger, task, worker, now_s - 1.0)
         run.percent = percent
-        run.moved_on_s = now_s
+        run.last_progress_s = now_s
     return ledger
 
 
 def _measured_speed(percents):
     worker = build.worker()
     _running(worker, percents)
-    speed = slowness.Pace()
+    speed = slowness.Speed()
     slowness.measure(speed, worker, _factor, 2.0)
     return speed
 
@@ -41,8 +41,8 @@
     for index in range(8):
         run = build.start(ledger, build.task(ledger, 0, index), worker, 1.0)
         run.percent = 10.0
-        run.moved_on_s = 2.0
-    speed = slowness.Pace()
+        run.last_progress_s = 2.0
+    speed = slowness.Speed()
     slowness.measure(speed, worker, _factor, 2.0)
     assert speed.ratio is None
 
@@ -68,10 +68,10 @@
 def test_tasks_that_ended_long_ago_do_not_count():
     worker = build.worker()
     ledger = build.ledger_with(build.job(*[build.step()] * 6))
-    speed = slowness.Pace()
+    speed = slowness.Speed()
     for number in range(6):
         task = build.task(ledger, number)
-        slowness.note_end(speed, task, 7.0, 1.0, 1.0)
+        slowness.record_end(speed, task, 7.0, 1.0, 1.0)
     slowness.measure(speed, worker, _factor, 2.0)
     assert speed.ratio is not None
     slowness.measure(speed, worker, _factor, 9.0)
@@ -81,7 +81,7 @@
 def test_run_is_restarted_only_if_that_is_sooner():
     worker = build.worker()
     ledger = _running(worker, [15.0, 90.0])
-    found = slowness.to_begin_anew(worker, _factor, 2.0)
+    found = slowness.runs_to_restart(worker, _factor, 2.0)
     assert found == [build.task(ledger, 0)]
 
 
@@ -89,9 +89,11 @@
     ledger = build.ledger_with(build.job())
     worker = build.worker()
     worker.slow = True
-    candidate = placing.rooms([worker], 1.0)[0]
+    candidate = placing.free_capacity([worker], 1.0)[0]
     assert not placing.fits(candidate, build.task(ledger).group)
-    long_running = build.ledger_with(build.job(build.step(lasting=True)))
+    long_running = build.ledger_with(
+        build.job(build.step(is_long_running=True))
+    )
     assert placing.fits(candidate, build.task(long_running).group)
 
 
--- a/tests/test_spoiled_entries.py
+++ b/tests/test_spoiled_entries.py
@@ -134,7 +134,7 @@
         await curio.sleep(1.0)
         worker = leader.workers['i-1']
         assert worker.fenced and worker.listed
-        assert worker.rostered
+        assert worker.is_in_stored_list
         roster = world.store.items['ow/workers/drafts'].value
         assert leading.ADDRESS.encode() in roster
         assert ELSEWHERE.encode() not in roster
--- a/tests/test_starting_up.py
+++ b/tests/test_starting_up.py
@@ -24,10 +24,10 @@
 
 
 def test_worker_tells_soon_while_a_long_running_task_starts_up():
-    worker, run = _worker(lasting=True)
+    worker, run = _worker(is_long_running=True)
     waits_ms = worker_loop.longest_wait_ms(worker, lossy=False)
     assert waits_ms == worker_loop.STARTING_WAIT_MS
-    run.at_work_since_s = 2.0
+    run.serving_since_s = 2.0
     waits_ms = worker_loop.longest_wait_ms(worker, lossy=False)
     assert waits_ms == worker_loop.BUSY_WAIT_MS
 
--- a/tests/test_held_back.py
+++ b/tests/test_starvation.py
@@ -3,13 +3,13 @@
 from oleanderwood.capacity import demand
 from oleanderwood.capacity import rebalancing
 from oleanderwood import ids
-from oleanderwood.pools import held_back
+from oleanderwood.pools import starvation
 from tests import utils_jobs as build
 
 TASK_S = 1.0
 """Duration of a task in seconds."""
 
-NOW_S = 1.0 + 2 * held_back.WINDOW_S
+NOW_S = 1.0 + 2 * starvation.WINDOW_S
 
 
 def _length_s(_task):
@@ -23,20 +23,20 @@
     :param percent: progress of the leftover run within its window
     """
     long_running = build.step(
-        lasting=True, latency_target_ms=100.0 * with_target
+        is_long_running=True, latency_target_ms=100.0 * with_target
     )
     leftover = build.step(uses_leftover=True, **fields)
     ledger = build.ledger_with(build.job(long_running, leftover))
     worker = build.worker()
     build.start(ledger, build.task(ledger, 0), worker)
     run = build.start(ledger, build.task(ledger, 1), worker)
-    assert held_back.measure(worker, _length_s, 1.0) == []
+    assert starvation.measure(worker, _length_s, 1.0) == []
     run.percent = percent
     return ledger, worker
 
 
 def _measured(worker, now_s=NOW_S):
-    return held_back.measure(worker, _length_s, now_s)
+    return starvation.measure(worker, _length_s, now_s)
 
 
 def test_run_without_progress_next_to_a_latency_task_is_starved():
@@ -48,7 +48,7 @@
 
 def test_nothing_is_starved_within_the_window():
     _ledger, worker = _next_to_long_running_task(percent=0.0)
-    assert _measured(worker, 1.0 + held_back.WINDOW_S / 2) == []
+    assert _measured(worker, 1.0 + starvation.WINDOW_S / 2) == []
 
 
 def test_run_that_progresses_is_not_starved():
@@ -64,7 +64,7 @@
 
 def test_run_without_any_cpu_is_starved():
     """Long-running tasks use all of the worker's CPU."""
-    long_running = build.step(lasting=True, cpu=8000)
+    long_running = build.step(is_long_running=True, cpu=8000)
     ledger = build.ledger_with(
         build.job(long_running, build.step(uses_leftover=True))
     )
@@ -79,20 +79,22 @@
     _ledger, worker = _next_to_long_running_task()
     rows = _measured(worker)
     busy = _next_to_long_running_task()[1]
-    assert held_back.to_leave(rows, [busy], NOW_S) == []
-    leaving = held_back.to_leave(rows, [busy, build.worker('w2')], NOW_S)
+    assert starvation.runs_to_relocate(rows, [busy], NOW_S) == []
+    leaving = starvation.runs_to_relocate(
+        rows, [busy, build.worker('w2')], NOW_S
+    )
     assert leaving == [rows[0].task]
 
 
 def test_task_is_relocated_a_limited_number_of_times():
     _ledger, worker = _next_to_long_running_task()
     rows = _measured(worker)
-    rows[0].task.relocated = held_back.MAX_RELOCATIONS
-    assert held_back.to_leave(rows, [build.worker('w2')], NOW_S) == []
+    rows[0].task.relocated = starvation.MAX_RELOCATIONS
+    assert starvation.runs_to_relocate(rows, [build.worker('w2')], NOW_S) == []
 
 
 def test_gang_is_relocated_whole_or_not_at_all():
-    latency_step = build.step(lasting=True, latency_target_ms=100.0)
+    latency_step = build.step(is_long_running=True, latency_target_ms=100.0)
     gang = build.step(2, uses_leftover=True, gang=True, mem=600)
     ledger = build.ledger_with(build.job(latency_step, gang))
     worker = build.worker()
@@ -102,9 +104,9 @@
     _measured(worker, 1.0)
     rows = _measured(worker)
     small = build.worker('w2', capacity=_capacity(1000))
-    assert held_back.to_leave(rows, [small], NOW_S) == []
+    assert starvation.runs_to_relocate(rows, [small], NOW_S) == []
     large = build.worker('w3', capacity=_capacity(1200))
-    leaving = held_back.to_leave(rows, [large], NOW_S)
+    leaving = starvation.runs_to_relocate(rows, [large], NOW_S)
     assert [task.index for task in leaving] == [0, 1]
 
 
@@ -115,14 +117,16 @@
 def _member(name, label, service=build.POOL, idle=True):
     worker = build.worker(name, service=service)
     if not idle:
-        ledger = build.ledger_with(build.job(build.step(lasting=True)))
+        ledger = build.ledger_with(build.job(build.step(is_long_running=True)))
         build.start(ledger, build.task(ledger), worker)
     return rebalancing.Member(name, 8.0, worker, labels=(label,))
 
 
 def _moves(pools, standby=()):
     rows = {ids.ServiceId('standby'): list(standby)}
-    decision = rebalancing.decide(pools, rows, demand.Turns(), 1.5, NOW_S)
+    decision = rebalancing.decide(
+        pools, rows, demand.ArrivalHistory(), 1.5, NOW_S
+    )
     return [
         (move.machine, move.target)
         for move in decision.moves
@@ -160,5 +164,7 @@
     pool.members += [_member('w4', 'a'), _member('w5', 'a')]
     pool.lacks_labels.add('b')
     rows = {ids.ServiceId('standby'): []}
-    decision = rebalancing.decide([pool], rows, demand.Turns(), 1.5, 1e3)
+    decision = rebalancing.decide(
+        [pool], rows, demand.ArrivalHistory(), 1.5, 1e3
+    )
     assert {move.machine for move in decision.moves} <= {'w4', 'w5'}
--- a/tests/test_store_back.py
+++ b/tests/test_store_back.py
@@ -47,7 +47,7 @@
         led.append(
             any(build.may_act(row) for row in scene.processes if row.state)
         )
-        await build.hand_in(
+        await build.submit_job(
             scene, build.leader(scene), build.step(3, 1500, 1000)
         )
 
@@ -60,8 +60,8 @@
     outcomes = []
 
     async def story(scene):
-        late = utils_restarts.make_one_late(scene, LATE_S)
-        await build.hand_in(
+        late = utils_restarts.delay_one_order(scene, LATE_S)
+        await build.submit_job(
             scene, build.leader(scene), build.step(1, 16000, 1000)
         )
         sent_s = await curio.clock()
@@ -86,6 +86,6 @@
     """
     await curio.sleep(AWAY_S - 0.1)
     await utils_restarts.restart(scene, address, 0.05)
-    ended = utils_restarts.note_late(scene, address)
+    ended = utils_restarts.record_late_outcomes(scene, address)
     await curio.sleep(2.0)
     outcomes.extend(ended)
--- a/tests/test_handing_in.py
+++ b/tests/test_submission.py
@@ -50,7 +50,7 @@
 
     async def main(world):
         intake, written_jobs = _intake(world)
-        await curio.spawn(intakes.write_always, intake, daemon=True)
+        await curio.spawn(intakes.write_forever, intake, daemon=True)
         await intakes.submit(intake, _job(1))
         calls = world.store.calls
         for term in (4, 5):
@@ -77,7 +77,7 @@
         submissions = [intakes.Submission(_job(n)) for n in range(40)]
         intake.waiting += submissions
         await intake.arrived.set()
-        await curio.spawn(intakes.write_always, intake, daemon=True)
+        await curio.spawn(intakes.write_forever, intake, daemon=True)
         for row in submissions:
             await row.done.wait()
         return [row.verdict for row in submissions], world.store.largest
@@ -93,14 +93,14 @@
     async def main(world):
         intake, _written_jobs = _intake(world)
         await stores.put(world.store, roles_.LEADER_KEY, _leader(4))
-        roles_.take(
+        roles_.apply_value(
             intake.roles,
             roles_.LEADER_KEY,
             _leader(4),
             world.store.items[roles_.LEADER_KEY].revision,
         )
         world.network.late_share[servers.STORE_ADDRESS] = 1.0
-        await curio.spawn(intakes.write_always, intake, daemon=True)
+        await curio.spawn(intakes.write_forever, intake, daemon=True)
         task = await curio.spawn(intakes.submit, intake, _job(1))
         await curio.sleep(0.1)
         world.network.late_share.clear()
@@ -120,7 +120,7 @@
         await curio.sleep(2.0)
         leader = process.state.leader
         later = msgspec.structs.replace(_job(1), term=leader.term + 1)
-        await leading_intake.take_jobs(leader, [later])
+        await leading_intake.add_jobs(leader, [later])
         deposed = leader.deposed
         await curio.sleep(0.01)
         return leader, deposed, process.state.leader
--- a/tests/test_takeover_defects.py
+++ b/tests/test_takeover_defects.py
@@ -7,9 +7,9 @@
 
 from emulator import day
 from emulator import troubles
-from oleanderwood.leading import confirming
-from oleanderwood.leading import former
+from oleanderwood.leading import confirmation
 from oleanderwood.leading import intake
+from oleanderwood.leading import previous_leaders
 from oleanderwood.leading import schedule
 from oleanderwood.leading import state as states
 from oleanderwood.leading import worker_loop
@@ -55,8 +55,8 @@
     async def ask(leader, row):
         return None
 
-    patch.setattr(former, '_ask_for_end', ask)
-    patch.setattr(worker_loop, '_keep_fenced', ask)
+    patch.setattr(previous_leaders, '_ask_for_end', ask)
+    patch.setattr(worker_loop, '_send_fence', ask)
 
 
 def _also_skip_asking(inject):
@@ -68,7 +68,7 @@
 
 
 def _act_longer_unreached(patch):
-    patch.setattr(confirming, 'MAX_UNREACHED_S', 60.0)
+    patch.setattr(confirmation, 'MAX_UNREACHED_S', 60.0)
 
 
 def _ignore_lease(patch):
@@ -76,7 +76,9 @@
 
 
 def _ignore_earlier_leases(patch):
-    patch.setattr(schedule, '_may_hold', lambda worker, now_s: False)
+    patch.setattr(
+        schedule, '_may_have_unknown_runs', lambda worker, now_s: False
+    )
 
 
 def _day(seed, *rows):
--- a/tests/test_tenant_days.py
+++ b/tests/test_tenant_days.py
@@ -76,7 +76,7 @@
 def _trusts_any_answer(patch):
     async def note(server, sent_s):
         await real(server, sent_s)
-        freshness.note_reading(server, sent_s)
+        freshness.record_reading(server, sent_s)
 
     real = lease.note_contact
     patch.setattr(lease, 'note_contact', note)
@@ -85,7 +85,7 @@
 
 
 def _trusts_its_keys_for_good(patch):
-    patch.setattr(freshness, 'is_proven', lambda server: True)
+    patch.setattr(freshness, 'is_recent', lambda server: True)
 
 
 def _keeps_revoked_keys(patch):
@@ -94,16 +94,16 @@
             return revoked.keys[shown][0]
         return real(tenants, public, shown, revoked)
 
-    real = access.judge
-    patch.setattr(access, 'judge', judge)
+    real = access.authenticate
+    patch.setattr(access, 'authenticate', judge)
 
 
 def _lets_anybody_in(patch):
-    patch.setattr(access, 'judge', lambda *arguments: 't0')
+    patch.setattr(access, 'authenticate', lambda *arguments: 't0')
 
 
 def _touches_any_job(patch):
-    patch.setattr(access, 'may_touch', lambda owner, tenant: True)
+    patch.setattr(access, 'may_access', lambda owner, tenant: True)
 
 
 def _judges_by_any_configuration(patch):
@@ -113,18 +113,20 @@
         return real(server, call) and not isinstance(call, _Passed)
 
     async def take(frontend, body):
-        passed = handler.msgspec.json.decode(body, type=forwarding.Call)
+        passed = handler.msgspec.json.decode(
+            body, type=forwarding.ForwardedCall
+        )
         call = _Passed(
             passed.method, passed.host, passed.path, passed.key, passed.body
         )
         response = await handler._serve(frontend, call)
-        return forwarding.Answered(
+        return forwarding.ForwardedAnswer(
             response.status, response.headers, response.body
         )
 
     real = handler._needs_proof
     patch.setattr(handler, '_needs_proof', needs)
-    patch.setattr(handler, 'take_call', take)
+    patch.setattr(handler, 'handle_forwarded_call', take)
 
 
 class _Passed(handler.Call):
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -141,8 +141,8 @@
         b'"s"},"work":{"text":"","steps":[]}}',
         type=model.Job,
     )
-    assert job.tenant == access.NOBODY
-    assert access.may_touch(job.tenant, 'first')
+    assert job.tenant == access.NO_TENANT
+    assert access.may_access(job.tenant, 'first')
 
 
 def test_earlier_version_reads_a_job_with_a_tenant():
@@ -187,8 +187,8 @@
 
 def test_key_of_two_tenants_is_invalid_and_their_others_stay_valid():
     rows = [
-        tenants_.Row(tenants_.Tenant('one'), (b'1', b'both')),
-        tenants_.Row(tenants_.Tenant('two'), (b'2', b'both')),
+        tenants_.TenantEntry(tenants_.Tenant('one'), (b'1', b'both')),
+        tenants_.TenantEntry(tenants_.Tenant('two'), (b'2', b'both')),
     ]
     tenants = tenants_.collect(rows, [])
     assert tenants.by_key == {b'1': 'one', b'2': 'two'}
--- a/tests/test_tenant_limits.py
+++ b/tests/test_tenant_limits.py
@@ -40,7 +40,7 @@
 
 
 def _decide(ledger, pool, limits, workers=None, unseen=None, teams=()):
-    ready = placing.by_service(ledger, KNOWN, lengths.Lengths(), 0.0, 1.0)
+    ready = placing.ready_by_pool(ledger, KNOWN, lengths.Lengths(), 0.0, 1.0)
     quotas = quotas_.make(
         policies.Policy(teams=teams),
         workers or pool,
@@ -115,7 +115,7 @@
 
 KINDS = {
     'plain': {},
-    'lasting': {'lasting': True},
+    'lasting': {'is_long_running': True},
     'leftover': {'uses_leftover': True},
     'copied': {'speculative': True},
 }
@@ -141,7 +141,7 @@
         run, 'phase', ledgers.RunPhase.ORDERED
     ),
     'doubtful': lambda worker, run: setattr(
-        run, 'phase', ledgers.RunPhase.DOUBTFUL
+        run, 'phase', ledgers.RunPhase.UNCONFIRMED
     ),
     'stopping': lambda worker, run: setattr(
         run, 'phase', ledgers.RunPhase.STOPPING
@@ -169,7 +169,7 @@
     )
     worker = build.worker('w2')
     group = build.task(ledger, 0, 0, JOBS[0]).group
-    worker.foreign = [group, group]
+    worker.unmanaged = [group, group]
     for task in list(group.waiting.values()):
         task.not_before_s = 9.0
     pools = [build.worker()]
@@ -270,11 +270,11 @@
         task = tasks[index]
         worker = ids.VmId(f'w{index}')
         if event == 'begin' and task.run is None:
-            ledgers.begin(ledger, task, worker, float(number))
+            ledgers.begin_run(ledger, task, worker, float(number))
         elif event == 'adopt':
             ledgers.adopt(ledger, task, worker, number + 1, float(number))
         elif event == 'over':
-            ledgers.over(ledger, task, float(number))
+            ledgers.end_run(ledger, task, float(number))
         elif event == 'forget':
             ledgers.forget(ledger, task.group.entry.job.job)
     expected = sum(
--- a/tests/test_term.py
+++ b/tests/test_term.py
@@ -9,7 +9,7 @@
 def test_fault_in_a_workers_loop_ends_the_term_and_the_day_goes_on(
     monkeypatch,
 ):
-    take = workers_.take_report
+    take = workers_.process_report
     faults = []
 
     def faulty(*arguments):
@@ -19,7 +19,7 @@
             raise ZeroDivisionError
         return outcome
 
-    monkeypatch.setattr(workers_, 'take_report', faulty)
+    monkeypatch.setattr(workers_, 'process_report', faulty)
     result = day.play(day.Plan(4))
     assert faults and not result.breaches and not result.unfinished
 
--- a/tests/test_tickets_at_expiry.py
+++ b/tests/test_tickets_at_expiry.py
@@ -50,7 +50,7 @@
         leader.workers['w1'] = worker
         leader.orders['w1'] = curio.Queue()
         task.group.tickets = {'w1': 'first'}
-        run = ledgers.begin(leader.ledger, task, 'w1', clock.now_s())
+        run = ledgers.begin_run(leader.ledger, task, 'w1', clock.now_s())
         worker.runs[task.name] = task
         asking = await curio.spawn(advising._ask, leader, None, task.group)
         await curio.sleep(ANSWER_S / 3)
--- a/tests/test_unnamed_entries.py
+++ b/tests/test_unnamed_entries.py
@@ -70,8 +70,8 @@
 
 
 def test_memory_of_waiting_entries_is_bounded():
-    book = entries_.Book()
-    for number in range(entries_.MOST_WAITING + 5):
-        entries_.wait(book, utils_jobs.entry(f'w{number}'))
-    assert len(book.waiting) == entries_.MOST_WAITING
+    book = entries_.UnusedEntries()
+    for number in range(entries_.MAX_WAITING + 5):
+        entries_.hold(book, utils_jobs.entry(f'w{number}'))
+    assert len(book.waiting) == entries_.MAX_WAITING
     assert 'w0' not in book.waiting
--- a/tests/test_unreadable_rosters.py
+++ b/tests/test_unreadable_rosters.py
@@ -23,7 +23,7 @@
     async def story(scene):
         former = build.leader(scene)
         other = next(row for row in scene.processes if row is not former)
-        await build.hand_in(scene, other, LONG)
+        await build.submit_job(scene, other, LONG)
         await curio.sleep(1.0)
         build.cut_off_runs(scene, former)
         await build.kill(scene, former)
--- a/tests/test_users_days.py
+++ b/tests/test_users_days.py
@@ -34,8 +34,8 @@
     async def story(scene):
         leader = build.leader(scene)
         other = next(row for row in scene.processes if row is not leader)
-        await build.hand_in(scene, other, step)
-        await build.hand_in(scene, other, build.step(2, 2000, 3000))
+        await build.submit_job(scene, other, step)
+        await build.submit_job(scene, other, build.step(2, 2000, 3000))
         while not utils_crashes.crashes(scene):
             await curio.sleep(0.001)
         await curio.sleep(kill_s)
@@ -68,7 +68,7 @@
                 daemon=True,
             )
         for _ in range(BURST_JOBS):
-            await build.hand_in(scene, leader, build.step(8, 4000, 800))
+            await build.submit_job(scene, leader, build.step(8, 4000, 800))
             await curio.sleep(0.2)
 
     result = build.play(story)
--- a/tests/test_worker_reports.py
+++ b/tests/test_worker_reports.py
@@ -21,7 +21,7 @@
     end = (1, task.name, 1, reports.How.DONE)
     outcome = build.take(ledger, worker, build.report(ended=[end]))
     assert task.done and task.run is None and outcome.changed
-    assert worker.seen_end == 1 and worker.kept_end == 0
+    assert worker.seen_end == 1 and worker.stored_end == 0
 
 
 def test_same_end_is_applied_once():
@@ -37,7 +37,7 @@
 def test_unanswered_start_is_over_only_after_a_stop_was_taken():
     ledger, task, worker = _setup()
     run = build.start(ledger, task, worker)
-    ledgers.set_phase(run, Phase.DOUBTFUL, 1.0)
+    ledgers.set_phase(run, Phase.UNCONFIRMED, 1.0)
     outcome = build.take(ledger, worker, build.report(), sent_s=1.5)
     assert outcome.stops == [(task.name, 1)]
     assert run.phase is Phase.STOPPING and task.run is run
@@ -47,13 +47,13 @@
     build.take(ledger, worker, build.report(), sent_s=1.65)
     assert task.run is run
     build.take(ledger, worker, build.report(), sent_s=1.8)
-    assert task.run is None and task.over_attempt == 1
+    assert task.run is None and task.last_ended_attempt == 1
 
 
 def test_unanswered_start_that_is_listed_runs():
     ledger, task, worker = _setup()
     run = build.start(ledger, task, worker)
-    ledgers.set_phase(run, Phase.DOUBTFUL, 1.0)
+    ledgers.set_phase(run, Phase.UNCONFIRMED, 1.0)
     build.take(ledger, worker, build.report([(task.name, 1)]))
     assert run.phase is Phase.RUNNING
 
@@ -92,7 +92,7 @@
 def test_lost_run_is_stopped_when_it_is_listed_again():
     ledger, task, worker = _setup()
     build.start(ledger, task, worker)
-    workers_.lost(ledger, worker, 2.0)
+    workers_.end_all_runs(ledger, worker, 2.0)
     outcome = build.take(ledger, worker, build.report([(task.name, 1)]))
     assert outcome.stops == [(task.name, 1)] and task.run is None
 
@@ -100,26 +100,26 @@
 def test_done_elsewhere_stops_the_other_run():
     ledger, task, worker = _setup()
     build.start(ledger, task, worker)
-    workers_.lost(ledger, worker, 2.0)
+    workers_.end_all_runs(ledger, worker, 2.0)
     build.start(ledger, task, build.worker('w2'))
     end = (1, task.name, 1, reports.How.DONE)
     outcome = build.take(ledger, worker, build.report(ended=[end]))
-    assert task.done and outcome.elsewhere == [task]
+    assert task.done and outcome.stop_elsewhere == [task]
 
 
 def test_tasks_of_a_lost_worker_wait_again():
     ledger, task, worker = _setup()
     build.start(ledger, task, worker)
-    assert workers_.lost(ledger, worker, 2.0) == [task]
+    assert workers_.end_all_runs(ledger, worker, 2.0) == [task]
     assert task.run is None and task.group.waiting[task.index] is task
 
 
 def test_lease_bound_covers_a_slow_clock():
     worker = build.worker()
-    workers_.note_answer(worker, build.report(own_clock_ms=10_000.0), 100.0)
-    workers_.note_lease(worker, 15_000.0)
+    workers_.record_answer(worker, build.report(own_clock_ms=10_000.0), 100.0)
+    workers_.record_lease(worker, 15_000.0)
     assert worker.lease_end_s >= 100.0 + 5.0 / 0.98
-    workers_.note_lease(worker, 12_000.0)
+    workers_.record_lease(worker, 12_000.0)
     assert worker.lease_end_s >= 100.0 + 5.0 / 0.98
 
 
@@ -155,20 +155,20 @@
     ledgers.end(ledger, task.group.entry, model.State.CANCELLED, 1.0)
     outcome = build.take(ledger, worker, build.report([(task.name, 1)]))
     assert outcome.stops == [(task.name, 1)]
-    assert workers_.used(worker) == model.Resources(5000, 300)
-    (candidate,) = placing.rooms([worker], 2.0)
+    assert workers_.used_resources(worker) == model.Resources(5000, 300)
+    (candidate,) = placing.free_capacity([worker], 2.0)
     assert candidate.cpu_millicores == 3000 and not placing.fits(
         candidate, task.group
     )
     end = (1, task.name, 1, reports.How.STOPPED)
     build.take(ledger, worker, build.report(ended=[end]))
-    assert workers_.used(worker) == model.Resources()
+    assert workers_.used_resources(worker) == model.Resources()
 
 
 def test_worker_with_a_run_of_unknown_size_gets_nothing_more():
     ledger, _task, worker = _setup()
     unknown = 'f' * 16 + '.0.0.0'
     build.take(ledger, worker, build.report([(unknown, 1)]))
-    assert not placing.rooms([worker], 2.0)
+    assert not placing.free_capacity([worker], 2.0)
     build.take(ledger, worker, build.report())
-    assert placing.rooms([worker], 2.0)
+    assert placing.free_capacity([worker], 2.0)
--- a/tests/test_yielding.py
+++ b/tests/test_yielding.py
@@ -29,7 +29,7 @@
     assert not leadership_transfer.reason(_overloaded(), 0.5, [], 5.0, 10.0)
 
 
-def test_overloaded_leader_yields_to_its_like_only_after_a_while():
+def test_overloaded_leader_yields_to_an_equal_server_only_after_a_while():
     pulse = _overloaded()
     assert leadership_transfer.reason(pulse, 1.0, [1.0], 5.0, 10.0)
     assert not leadership_transfer.reason(pulse, 2.0, [1.0], 5.0, 10.0)
@@ -76,6 +76,6 @@
 
 
 def test_late_timers_lengthen_what_answers_may_take():
-    calm_s = worker_loop.timeout_s(wary=False, late_s=0.0)
-    assert worker_loop.timeout_s(wary=True, late_s=0.0) < calm_s
-    assert worker_loop.timeout_s(wary=True, late_s=0.5) > 2.0
+    calm_s = worker_loop.timeout_s(lossy=False, late_s=0.0)
+    assert worker_loop.timeout_s(lossy=True, late_s=0.0) < calm_s
+    assert worker_loop.timeout_s(lossy=True, late_s=0.5) > 2.0
--- a/tests/utils_crashes.py
+++ b/tests/utils_crashes.py
@@ -21,7 +21,7 @@
 
     async def story(scene):
         for step in steps:
-            await build.hand_in(scene, build.leader(scene), step)
+            await build.submit_job(scene, build.leader(scene), step)
         await curio.sleep(SETTLE_S)
 
     return build.play(story, plan)
--- a/tests/utils_jobs.py
+++ b/tests/utils_jobs.py
@@ -78,7 +78,7 @@
 
 def start(ledger, task_, worker_, now_s: float = 1.0) -> ledgers.Run:
     """Record the start of a task on a worker, and its confirmation."""
-    run = ledgers.begin(ledger, task_, worker_.entry.worker, now_s)
+    run = ledgers.begin_run(ledger, task_, worker_.entry.worker, now_s)
     worker_.runs[task_.name] = task_
     ledgers.set_phase(run, ledgers.RunPhase.RUNNING, now_s)
     return run
@@ -102,6 +102,6 @@
 
 def take(ledger, worker_, report_, sent_s=2.0, now_s=2.0, attempts=2):
     """Apply a worker's report to a ledger."""
-    return workers_.take_report(
+    return workers_.process_report(
         ledger, worker_, report_, sent_s, now_s, lambda entry_: attempts
     )
--- a/tests/utils_overload.py
+++ b/tests/utils_overload.py
@@ -114,11 +114,11 @@
 
 
 def _start(ledger, pool, known, lengths, ends, real, now_s) -> None:
-    ready = placing.by_service(ledger, known, lengths, 0.0, now_s)
+    ready = placing.ready_by_pool(ledger, known, lengths, 0.0, now_s)
     groups = ready.get(build.POOL, [])
     for placement in placing.decide(groups, pool, now_s, 200):
         task = placement.task
-        ledgers.begin(ledger, task, placement.worker.entry.worker, now_s)
+        ledgers.begin_run(ledger, task, placement.worker.entry.worker, now_s)
         placement.worker.runs[task.name] = task
         took_s = real[task.group.entry.job.job][task.group.number]
         row = (now_s + took_s, task.name, placement.worker, task)
@@ -127,7 +127,7 @@
 
 def _end(ledger, workers, lengths, row) -> None:
     at_s, name, worker, task = row
-    lengths_.note(lengths, task.group, at_s - task.run.begun_s)
+    lengths_.record(lengths, task.group, at_s - task.run.begun_s)
     del worker.runs[ids.TaskId(name)]
     ledgers.mark_done(ledger, task, at_s)
-    ledgers.over(ledger, task, at_s)
+    ledgers.end_run(ledger, task, at_s)
--- a/tests/utils_restarts.py
+++ b/tests/utils_restarts.py
@@ -48,20 +48,20 @@
 BRIEF_MS = 30
 
 
-async def begin(scene, step) -> list[str]:
+async def start_job(scene, step) -> list[str]:
     """Start a job; return a list that receives the address of each start."""
     begun: list[str] = []
-    build.note_starts(scene, begun)
-    await build.hand_in(scene, build.leader(scene), step)
+    build.record_starts(scene, begun)
+    await build.submit_job(scene, build.leader(scene), step)
     await curio.sleep(1.0)
     return begun
 
 
-async def hand_in_brief(scene, jobs) -> None:
+async def submit_brief_jobs(scene, jobs) -> None:
     """Submit jobs of three tasks that each take some milliseconds."""
     leader = build.leader(scene)
     for _ in range(jobs):
-        await build.hand_in(scene, leader, build.step(3, 16000, BRIEF_MS))
+        await build.submit_job(scene, leader, build.step(3, 16000, BRIEF_MS))
 
 
 async def restart(
@@ -132,7 +132,7 @@
     return [row.address for row in machines if row.executor is not None]
 
 
-def make_one_late(
+def delay_one_order(
     scene, after_s, path='/run-start', matches=None
 ) -> list[str]:
     """Delay the first matching order at any address; see ``delay_order``."""
@@ -142,7 +142,7 @@
     return delayed
 
 
-def note_late(scene, address) -> list[str]:
+def record_late_outcomes(scene, address) -> list[str]:
     """Return a list that receives the outcomes of late orders at an address.
 
     An outcome is the reason of a refusal; '' if the order was carried out.
@@ -167,12 +167,12 @@
     """
 
     async def scenario(scene):
-        begun = await begin(scene, build.step(1, 16000, BRIEF_MS))
-        await hand_in_brief(scene, 12)
+        begun = await start_job(scene, build.step(1, 16000, BRIEF_MS))
+        await submit_brief_jobs(scene, 12)
         await curio.sleep(3.0)
         for address in sorted(set(begun)):
             await restart(scene, address, 0.0)
-        await hand_in_brief(scene, 6)
+        await submit_brief_jobs(scene, 6)
         await curio.sleep(8.0)
         if ended_counts is not None:
             ended_counts.append(len(scene.callers.finished_s))
@@ -184,15 +184,15 @@
     """Send orders to an incarnation that no server knows of yet."""
 
     async def scenario(scene):
-        begun = await begin(scene, build.step(1, 16000, BRIEF_MS))
-        await hand_in_brief(scene, 9)
+        begun = await start_job(scene, build.step(1, 16000, BRIEF_MS))
+        await submit_brief_jobs(scene, 9)
         await curio.sleep(4.0)
         await delay_entries(scene, 6.0)
         await curio.sleep(1.0)
         for address in sorted(set(begun)):
             await restart(scene, address, 0.0)
         for _ in range(3):
-            await hand_in_brief(scene, 1)
+            await submit_brief_jobs(scene, 1)
             await curio.sleep(0.3)
         await curio.sleep(8.0)
 
@@ -213,7 +213,7 @@
             if machine.executor is not None:
                 rows = delay_order(scene, machine.address, 9.0)
                 delayed.append((machine.address, rows))
-        await build.hand_in(scene, build.leader(scene), LONG)
+        await build.submit_job(scene, build.leader(scene), LONG)
         await curio.sleep(restart_s)
         hit = [address for address, rows in delayed if rows]
         await restart(scene, hit[0], 0.05)
@@ -230,16 +230,16 @@
     """
 
     async def scenario(scene):
-        delayed = make_one_late(
+        delayed = delay_one_order(
             scene, 6.0, '/hold', lambda asked: asked['last_seen'] > 0
         )
-        await hand_in_brief(scene, 1)
+        await submit_brief_jobs(scene, 1)
         while not delayed:
             await curio.sleep(0.01)
         await curio.sleep(1.5)
         await restart(scene, delayed[0], 0.05)
         await curio.sleep(1.0)
-        await build.hand_in(
+        await build.submit_job(
             scene, build.leader(scene), build.step(6, 8000, 1000)
         )
         await curio.sleep(0.3)
@@ -260,7 +260,7 @@
     """
 
     async def scenario(scene):
-        begun = await begin(scene, LONG)
+        begun = await start_job(scene, LONG)
         await build.kill(scene, build.leader(scene))
         await curio.sleep(gap_s)
         await restart(scene, begun[0], 0.05)
@@ -279,14 +279,14 @@
 
     async def scenario(scene):
         previous = build.leader(scene)
-        begun = await begin(scene, build.step(1, 16000, 3_000))
+        begun = await start_job(scene, build.step(1, 16000, 3_000))
         second, third = [row for row in scene.processes if row is not previous]
         idle = next(
             machine.address
             for machine in scene.fleet.machines.values()
             if machine.address != begun[0]
         )
-        build.cut_apart(scene, [previous, second], [third], idle)
+        build.partition(scene, [previous, second], [third], idle)
         await curio.sleep(5.0)
         scene.network.cuts.add((third.name, begun[0]))
         scene.network.cuts.discard((previous.name, begun[0]))
@@ -302,7 +302,7 @@
     """
 
     async def scenario(scene):
-        await begin(scene, LONG)
+        await start_job(scene, LONG)
         machines = list(scene.fleet.machines.values())
         for machine in machines:
             if machine.executor is not None:
--- a/tests/utils_takeover.py
+++ b/tests/utils_takeover.py
@@ -144,7 +144,7 @@
 ) -> None:
     """Submit one small job after another at one server, for a while."""
     for _ in range(round(SUBMIT_PERIOD_S / SUBMIT_INTERVAL_S)):
-        await hand_in(scene, at, step(2, 1500, estimate_ms))
+        await submit_job(scene, at, step(2, 1500, estimate_ms))
         await curio.sleep(SUBMIT_INTERVAL_S)
 
 
@@ -158,7 +158,7 @@
     }
 
 
-async def hand_in(scene: Scene, at: servers.Process, step_: dict) -> None:
+async def submit_job(scene: Scene, at: servers.Process, step_: dict) -> None:
     """Submit a job of one step at one server, as a caller."""
     callers = dataclasses.replace(scene.callers, processes=[at])
     scene.jobs += 1
@@ -184,7 +184,7 @@
     scene.network.handlers[address] = handle
 
 
-def note_starts(scene: Scene, begun: list[str]) -> None:
+def record_starts(scene: Scene, begun: list[str]) -> None:
     """Record the address of each worker that begins a task.
 
     Workers that have not been started yet are left out.
@@ -208,7 +208,7 @@
                 scene.network.cuts.add((process.name, machine.address))
 
 
-async def send_queue_to(scene: Scene, pool: str) -> None:
+async def move_queues_to(scene: Scene, pool: str) -> None:
     """Change the configuration so that all queues use one pool."""
     value = json.loads(scene.store.items['op/config'].value)
     value['version'] += 1
@@ -224,7 +224,7 @@
     await servers.kill(scene.network, process)
 
 
-def cut_apart(
+def partition(
     scene: Scene,
     left: list[servers.Process],
     right: list[servers.Process],
@@ -235,7 +235,7 @@
 
     :param harm: how calls across the cut fail; None: they are never answered
     """
-    pairs = ways_across(scene, left, right, address)
+    pairs = partition_pairs(scene, left, right, address)
     if harm is None:
         scene.network.cuts |= pairs
         return
@@ -243,7 +243,7 @@
     scene.network.harms.update(dict.fromkeys(pairs, harm))
 
 
-def ways_across(
+def partition_pairs(
     scene: Scene,
     left: list[servers.Process],
     right: list[servers.Process],
