--- a/oleanderwood/leading/intake.py
+++ b/oleanderwood/leading/intake.py
@@ -275,7 +275,7 @@
             memory_mb=entry.capacity.memory_mb,
             gpus=entry.capacity.gpus,
         )
-        known.refused = None
+        known.rejected_needs = None
     known.entry = entry
     if not known.listed:
         known.listed = True
--- a/oleanderwood/server.py
+++ b/oleanderwood/server.py
@@ -346,7 +346,7 @@
     )
     await server.roles_changed.set()
     if server.leader is not None:
-        await server.leader.due.set()
+        await server.leader.placement_due.set()
 
 
 def _tenant_count(configuration: queues.Configuration) -> int:
