--- a/oleanderwood/capacity/backlog.py
+++ b/oleanderwood/capacity/backlog.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 MIN_LEFT_S = 1.5
-"""Work that is due sooner counts as due in this time: a machine that is
+"""Smallest time until a deadline that is counted with: a machine that is
 requested now arrives no earlier."""
 
 
--- a/oleanderwood/capacity/demand.py
+++ b/oleanderwood/capacity/demand.py
@@ -1,4 +1,4 @@
-"""Predict the demand of each queue from its arrivals.
+"""Predict the demand of each pool from the arrivals of its queues' jobs.
 
 Queues send their jobs in bursts that last seconds: during a burst a queue
 needs several times its mean, and between bursts almost nothing. A machine
@@ -19,12 +19,15 @@
 machines."""
 
 SHORT_RATE_WINDOW_S = 0.6
+"""Shortest rate window, used if it holds ``RELIABLE_ARRIVALS``."""
+
 RELIABLE_ARRIVALS = 25
 """Arrivals that give a rate to within a fifth; the shortest window that holds
 them is used."""
 
 MAX_RISE_FACTOR = 1.5
-"""Upper bound on extrapolating a rising rate over the time of a move."""
+"""Upper bound on the factor by which a rising rate is extrapolated over the
+time of a move."""
 
 RAMP_UP_S = 4.0
 """Time after the start of a burst in which its rate can't be measured yet: it
@@ -49,8 +52,8 @@
 
 HALF_WEIGHT_ARRIVALS = 2.0
 """Number of arrivals at which a rate counts for half. Ten small jobs in a
-window are reliable; two large jobs requested three times the cores that were
-needed on average."""
+window are reliable; a rate from two large jobs requested three times the cores
+that were needed on average."""
 
 MIN_BURST_ARRIVALS = 2
 """Fewest arrivals in the window that make a burst."""
@@ -113,7 +116,7 @@
     if history.began_s is None:
         history.began_s = at_s
     pool_history = history.by_pool.setdefault(pool, PoolHistory())
-    # Ends a burst that is over since the last update.
+    # Ends a burst that stopped since the last update.
     update_burst_state(history, pool, at_s)
     pool_history.arrivals.append((at_s, core_s))
     pool_history.total_core_s += core_s
@@ -200,7 +203,10 @@
 def _rise_factor(
     pool_history: PoolHistory, since_s: float, now_s: float
 ) -> float:
-    """Return the factor by which the rate keeps rising, 1 if uncertain."""
+    """Return the factor by which the rate is expected to rise further.
+
+    It is 1 if there were too few arrivals to tell.
+    """
     count = _count(pool_history, since_s)
     before = _count(pool_history, 2 * since_s - now_s) - count
     if before < RELIABLE_ARRIVALS:
@@ -301,7 +307,10 @@
 
 
 def usual_start_gap_s(history: ArrivalHistory) -> float:
-    """Return the median time between two starts, or the least if unknown."""
+    """Return the median time between two starts.
+
+    It is ``MIN_START_GAP_S`` if none is known.
+    """
     if not history.start_gaps_s:
         return MIN_START_GAP_S
     ordered = sorted(history.start_gaps_s)
@@ -321,9 +330,10 @@
 ) -> BurstForecast | None:
     """Predict when a pool's next burst starts; return None if that is unknown.
 
-    A pool that had two bursts keeps the time between them. Before that, pools
-    are expected to have their bursts in the same order each time: once each
-    pool has had one, the pool whose burst is the longest ago is next.
+    A pool that had two bursts is expected to repeat them at the same interval.
+    Before that, pools are expected to have their bursts in the same order each
+    time: once each pool has had one, the pool whose burst is the longest ago
+    is next.
     """
     pool_history = history.by_pool.get(pool)
     if pool_history is None or not pool_history.starts_s:
@@ -390,7 +400,11 @@
 
 
 def _next_in_series_s(last_s: float, period_s: float, now_s: float) -> float:
-    """Return the first start of a periodic series that isn't missed by now."""
+    """Return the next start of a periodic series.
+
+    A start that passed within ``RATE_WINDOW_S`` may not be detected yet, so it
+    counts as next.
+    """
     begin_s = last_s + period_s
     while period_s > 0 and begin_s + RATE_WINDOW_S < now_s:
         begin_s += period_s
@@ -414,8 +428,8 @@
 
     Returns None if it may start at any moment. While other pools haven't had
     their first burst, a pool that had one comes after them. Where bursts don't
-    follow the predictions, a pool is expected to stay quiet for as long as it
-    waited for its last burst.
+    follow the predictions, a pool is expected to stay quiet for one usual time
+    between two starts for each pool.
     """
     found = next_burst(history, pool, now_s)
     if found is not None:
--- a/oleanderwood/capacity/draining.py
+++ b/oleanderwood/capacity/draining.py
@@ -28,7 +28,7 @@
 
 
 class Member(typing.Protocol):
-    """A machine, as the planning of pools sees it."""
+    """The fields of ``rebalancing.Member`` that are used here."""
 
     machine: str
     cores: float
@@ -67,7 +67,7 @@
     for pool in pools:
         rows += _candidates(pool, now_s)
     rows.sort(key=lambda row: row[:3])
-    return [emptied for *_order, emptied in rows[: max(0, wanted)]]
+    return [drained for *_order, drained in rows[: max(0, wanted)]]
 
 
 def _candidates(pool: Surplus, now_s: float) -> list:
@@ -78,11 +78,11 @@
         if drain_time_s is None or drain_time_s > MAX_DRAIN_S:
             continue
         tasks = list(member.worker.runs.values())
-        emptied = MachineToDrain(
+        drained = MachineToDrain(
             member.machine,
             [task for task in tasks if _is_stopped(task, now_s)],
         )
-        rows.append((drain_time_s, _cores(tasks), member.machine, emptied))
+        rows.append((drain_time_s, _cores(tasks), member.machine, drained))
     rows.sort(key=lambda row: row[:3])
     return rows[: max(0, pool.count)]
 
--- a/oleanderwood/capacity/rebalancing.py
+++ b/oleanderwood/capacity/rebalancing.py
@@ -60,8 +60,9 @@
 and so does a store that reports nothing for a second."""
 
 BURST_IDLE_S = 2.0
-"""Idle time after which a machine leaves a pool during its burst: the peak of
-that time didn't need it, and two moves cost as much as this wait."""
+"""Idle time after which a machine leaves a pool during its burst: it wasn't
+needed even at the peak of that time, and two moves cost as much as this
+wait."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -84,7 +85,7 @@
 
 @dataclasses.dataclass
 class PoolView:
-    """One pool.
+    """A pool's machines and its work.
 
     :ivar busy_cores: cores of running tasks, and of all long-running ones
     :ivar long_running_cores: cores of long-running tasks, included in
@@ -169,15 +170,15 @@
     if pool.waiting:
         # While work waits, other machines replace cores that can't be used.
         cores += sum(member.unavailable_cores for member in pool.members)
-    each = machine_cores * USABLE_CORES_SHARE
-    if not each:
+    usable_cores = machine_cores * USABLE_CORES_SHARE
+    if not usable_cores:
         return Need(0, 0)
-    now = math.ceil(cores / each)
+    now = math.ceil(cores / usable_cores)
     if pool_history is not None and demand.is_ramping_up(pool_history, now_s):
         now = max(now, _ramp_up_machines(pool, history))
     if pool.lacks_suitable_machine:
-        # One machine comes at a time, and the present ones stay: sent away as
-        # idle, they came back again and again, 26 times in a run of 90 s.
+        # Machines come one at a time, and the present ones stay: when sent
+        # away as idle, they kept coming back, 26 times in a run of 90 s.
         now = max(now, len(pool.members) + (not _is_incoming(pool.members)))
     soon = 0
     forecast = demand.next_burst(history, pool.service, now_s)
@@ -191,7 +192,7 @@
                 pool.long_running_cores
                 + FORECAST_SHARE * pool_history.burst_cores
             )
-            soon = math.ceil(forecast_cores / each)
+            soon = math.ceil(forecast_cores / usable_cores)
     return Need(now, max(now, soon))
 
 
@@ -230,9 +231,9 @@
 ) -> Decision:
     """Decide on moves.
 
-    Pools that lack machines now come first, if necessary from pools that keep
-    idle ones for a later burst. Pools whose burst is about to start come next,
-    then standby.
+    Machines go first to pools that lack them now, if necessary from pools that
+    keep idle ones for a later burst; then to pools whose burst is about to
+    start; then to standby.
     """
     machine_cores = _mean_machine_cores(pools, standby)
     wanted = {
@@ -275,8 +276,8 @@
         ):
             moves.append(Move(member.machine, service, target, 'idle'))
             remaining[service] -= 1
-    emptied = _to_drain(pools, wanted, free, remaining, now_s)
-    return Decision(moves, wanted, emptied)
+    drained = _to_drain(pools, wanted, free, remaining, now_s)
+    return Decision(moves, wanted, drained)
 
 
 def _to_standby(
@@ -332,14 +333,14 @@
         shortfall = _shortfall(pool, wanted[pool.service].now, free)
         if shortfall > 0:
             lacking[pool.service] = shortfall
-    first = min(
+    best_priority = min(
         (pool.priority for pool in pools if pool.service in lacking),
         default=math.inf,
     )
     surplus = []
     for pool in pools:
         reserved = wanted[pool.service].now + SPARE_MACHINES
-        if pool.priority > first:
+        if pool.priority > best_priority:
             reserved = math.ceil(PREEMPTED_SHARE * reserved)
         spare = remaining[pool.service] - max(pool.min_up, reserved)
         surplus.append(draining.Surplus(pool.service, pool.members, spare))
@@ -361,7 +362,7 @@
 
 
 def _shortfall(pool: PoolView, wanted: int, free: _Free) -> int:
-    """Return how many more machines a pool needs than it was assigned."""
+    """Return how many machines a pool still needs, beside assigned ones."""
     return wanted - len(pool.members) - free.incoming.get(pool.service, 0)
 
 
@@ -429,7 +430,7 @@
     """Return whether a pool's first burst may start before machines arrive.
 
     Bursts of pools follow one another: while another pool's burst is recent,
-    the pool's machines may be lent.
+    so that the next one isn't expected yet, the pool's machines may be lent.
     """
     if not _has_had_no_burst(history, service):
         return False
@@ -462,8 +463,8 @@
     moves = []
     for pool in pools:
         for label in sorted(pool.lacks_labels):
-            having = [row for row in pool.members if label in row.labels]
-            if _is_incoming(having):
+            labelled = [row for row in pool.members if label in row.labels]
+            if _is_incoming(labelled):
                 continue
             taken = _take_labelled(free, pool.service, label)
             if taken is not None:
@@ -538,7 +539,7 @@
     member: Member,
     now_s: float,
 ) -> bool:
-    """Return whether a pool during its burst doesn't need an idle machine."""
+    """Return whether a machine stayed idle for long in its pool's burst."""
     pool_history = history.by_pool.get(service)
     if pool_history is None or not pool_history.in_burst:
         return False
@@ -555,7 +556,6 @@
     if _has_had_no_burst(history, service):
         # The reserve for its first burst isn't counted as surplus; other
         # machines may go once any pool has had a burst.
-
         return history.last_start_s is not None
     begin_s = demand.earliest_burst_s(history, service, now_s)
     pool_history = history.by_pool.get(service)
--- a/oleanderwood/frontend/forwarding.py
+++ b/oleanderwood/frontend/forwarding.py
@@ -39,9 +39,9 @@
 one call in eight fails."""
 
 
-MAX_JUDGES = 10
-"""Servers that are asked to judge a call; with two thirds of all servers cut
-off, one call in fifty finds none."""
+MAX_FORWARD_PEERS = 10
+"""Servers that are asked to answer a forwarded call; with two thirds of all
+servers cut off, one call in fifty finds none that can."""
 
 
 class RelayResult(msgspec.Struct, frozen=True):
@@ -58,11 +58,11 @@
 
 
 class ForwardedCall(msgspec.Struct, frozen=True):
-    """A caller's call, for another server to judge and answer.
+    """A caller's call, for another server to authenticate and answer.
 
     :ivar key: the digest of the caller's key
     :ivar least_revision: minimum revision of the configuration by which the
-        call may be judged: the caller may have seen effects of this server's
+        call may be answered: the caller may have seen effects of this server's
         revision
     """
 
@@ -77,8 +77,8 @@
 class ForwardedAnswer(msgspec.Struct, frozen=True):
     """Another server's answer to a forwarded call.
 
-    :ivar status: None if that server can't judge the call either; it had no
-        effect
+    :ivar status: None if that server can't check the key either; the call
+        had no effect
     """
 
     status: int | None = None
@@ -113,7 +113,8 @@
 ) -> RelayResult:
     """Call servers one after another until one has carried out the call."""
     result = RelayResult(
-        verdicts.Verdict.NOT_RUN, 'no other server is known to relay to'
+        verdicts.Verdict.NOT_RUN,
+        'the store was not reached, and no other server is known',
     )
     in_doubt = False
     for address in _peer_addresses(client.server):
@@ -144,7 +145,7 @@
     body = msgspec.json.encode(call)
     in_doubt = ''
     unanswered = 0
-    for address in _judge_addresses(client):
+    for address in _forward_peer_addresses(client):
         if unanswered == MAX_PEERS:
             break
         try:
@@ -157,20 +158,24 @@
                 in_doubt = error.reason
             continue
         if reply.status is not None:
-            client.last_judge = address
+            client.last_forward_peer = address
             return reply
     if in_doubt:
         raise errors.CallFailed(verdicts.Verdict.MAY_HAVE_RUN, in_doubt)
     return ForwardedAnswer()
 
 
-def _judge_addresses(client: peer_clients.PeerClient) -> list[ids.Address]:
-    """Return servers that may judge a call, the last successful one first.
+def _forward_peer_addresses(
+    client: peer_clients.PeerClient,
+) -> list[ids.Address]:
+    """Return servers that may answer a call, the last successful one first.
 
-    A server that can't judge it answers so at once, so many may be asked.
+    A server that can't check the key answers so at once, so many may be asked.
     """
-    found = _peer_addresses(client.server, MAX_JUDGES)
-    return sorted(found, key=lambda address: address != client.last_judge)
+    found = _peer_addresses(client.server, MAX_FORWARD_PEERS)
+    return sorted(
+        found, key=lambda address: address != client.last_forward_peer
+    )
 
 
 def _peer_addresses(
--- a/oleanderwood/frontend/freshness.py
+++ b/oleanderwood/frontend/freshness.py
@@ -1,4 +1,4 @@
-"""Check whether a server's configuration is recent enough to judge keys.
+"""Check whether a server's configuration is recent enough to check keys.
 
 A revoked key has to stop working in time at every server, also at one that the
 store refuses or that was suspended. So a server trusts its keys only for a
@@ -25,7 +25,7 @@
 
 
 def is_recent(server: states.Server) -> bool:
-    """Return whether the configuration is recent enough to judge keys."""
+    """Return whether the configuration is recent enough to check keys."""
     age_s = clock.now_s() - server.configuration_confirmed_s
     return age_s <= trusted_s(server)
 
--- a/oleanderwood/frontend/handler.py
+++ b/oleanderwood/frontend/handler.py
@@ -100,16 +100,16 @@
             http.find_all(request.headers, 'authorization')
         )
         call = Call(request.method, host, path, credential, body)
-        # The key is judged only now, as the body may have come slowly.
-        if _needs_proof(frontend.server, call):
+        # The key is checked only now, as the body may have come slowly.
+        if _needs_recent_configuration(frontend.server, call):
             return await _forward(frontend, call)
         return await _serve(frontend, call)
 
     return handle
 
 
-def _needs_proof(server: states.Server, call: Call) -> bool:
-    """Return whether the configuration is too old to judge the call's key."""
+def _needs_recent_configuration(server: states.Server, call: Call) -> bool:
+    """Return whether the configuration is too old to check the call's key."""
     return (
         server.configuration.tenants is not None
         and not isinstance(call.credential, credentials.Denial)
@@ -118,7 +118,7 @@
 
 
 async def _forward(frontend: Frontend, call: Call) -> http.Response:
-    """Have a call judged by a server with a recent configuration."""
+    """Have a call answered by a server with a recent configuration."""
     forwarded = forwarding.ForwardedCall(
         call.method,
         call.host,
@@ -145,7 +145,7 @@
 async def handle_forwarded_call(
     frontend: Frontend, body: bytes
 ) -> forwarding.ForwardedAnswer:
-    """Judge and answer another server's call; it isn't forwarded any further.
+    """Authenticate and answer another server's call, without forwarding it.
 
     :raises msgspec.MsgspecError: the body is not a call
     """
@@ -162,7 +162,7 @@
         server.configuration is None
         or server.configuration_revision < forwarded.least_revision
         or forwarding.is_store_lost(server)
-        or _needs_proof(server, call)
+        or _needs_recent_configuration(server, call)
     ):
         return forwarding.ForwardedAnswer()
     try:
--- a/oleanderwood/frontend/intake.py
+++ b/oleanderwood/frontend/intake.py
@@ -22,7 +22,7 @@
 condition is that the leader is still the one this server knows."""
 
 WRITE_ATTEMPTS = 3
-"""Attempts at a write that gets no answer."""
+"""Attempts at a write, as long as none gets an answer."""
 
 BATCH_ATTEMPTS = WRITE_ATTEMPTS + 1
 """One attempt more: a write that finds another leader than the one known here
@@ -132,9 +132,9 @@
     """Write a batch; return the submissions that have to be retried.
 
     Each job carries the term under which it is accepted, and the store checks
-    that no other term has begun. The term shows a previous leader that is
-    still acting that the job isn't its own, and the next leader that no
-    earlier leader can have started the job.
+    that no other term has begun. From the job's term, a previous leader that
+    is still acting sees that the job isn't its own, and the next leader sees
+    that no earlier leader can have started it.
     """
     keys: dict[str, list[Submission]] = {}
     leader = intake.roles.leader
--- a/oleanderwood/frontend/peer_client.py
+++ b/oleanderwood/frontend/peer_client.py
@@ -44,11 +44,11 @@
 class PeerClient:
     """Connections for calls to the leader and to other servers.
 
-    :ivar last_judge: the server that last judged a call for this one
+    :ivar last_forward_peer: the server that last answered a forwarded call
     """
 
     server: states.Server
-    last_judge: ids.Address | None = None
+    last_forward_peer: ids.Address | None = None
     open_connections: connections.Connections = dataclasses.field(
         default_factory=connections.Connections
     )
@@ -63,7 +63,7 @@
 
 
 def answer_pending(leader: states.Leader, queue: str) -> QueryResult:
-    """Count a queue's jobs of which no task has started, as the leader."""
+    """Count a queue's jobs of which no task has started, in the ledger."""
     count = sum(
         1
         for entry in leader.ledger.entries.values()
--- a/oleanderwood/frontend/targets.py
+++ b/oleanderwood/frontend/targets.py
@@ -22,5 +22,4 @@
         raise errors.BadMessage(400, 'the target is no URL') from error
     if url.scheme not in ('http', 'https') or not url.netloc:
         raise errors.BadMessage(400, 'the target is neither path nor URL')
-
     return url.netloc, url.path or '/'
--- a/oleanderwood/maintenance/disruption_budget.py
+++ b/oleanderwood/maintenance/disruption_budget.py
@@ -20,7 +20,7 @@
 
 
 def count_unavailable(group: ledgers.Group, now_s: float) -> int:
-    """Count the tasks of a step that may not be working."""
+    """Count the tasks of a step that aren't known to be working."""
     return sum(not is_working(task, now_s) for task in group.tasks)
 
 
@@ -42,7 +42,10 @@
 
 
 def may_interrupt_all(worker: workers_.Worker, now_s: float) -> bool:
-    """Return whether an order may end all tasks that run on a worker."""
+    """Return whether an order may end all tasks that run on a worker.
+
+    The budget of each of their steps has to allow it.
+    """
     groups = {
         task.group
         for task in worker.runs.values()
@@ -55,7 +58,7 @@
 def _may_interrupt_step(
     group: ledgers.Group, worker: workers_.Worker, now_s: float
 ) -> bool:
-    """Check one step's budget, if its tasks on this worker end.
+    """Return whether a step's budget allows its tasks on this worker to end.
 
     Reports are up to one lease renewal old, so each run on this worker may be
     working by now; elsewhere a task counts as unavailable until it is known to
--- a/oleanderwood/maintenance/fleet.py
+++ b/oleanderwood/maintenance/fleet.py
@@ -9,7 +9,7 @@
 
 
 class State(enum.Enum):
-    """The platform's state of a machine."""
+    """A machine's state, as the platform reports it."""
 
     UP = 'up'
     MOVING = 'moving'
--- a/oleanderwood/maintenance/rolling.py
+++ b/oleanderwood/maintenance/rolling.py
@@ -50,7 +50,7 @@
     """An order to maintain a machine.
 
     :ivar before: the machine's worker at the time, '' if it was off
-    :ivar taken: the platform answered that the order is carried out
+    :ivar taken: the platform confirmed the order
     """
 
     before: str
@@ -65,6 +65,10 @@
     :ivar begun: machines whose maintenance has begun
     :ivar down: machines that were ordered down and aren't known to be back
     :ivar closed: machines that go down next
+    :ivar refused_until_s: until when a machine isn't ordered again, as its
+        last order was refused or got no answer
+    :ivar waits: why a machine doesn't go down now
+    :ivar status_written: the last status in the store
     """
 
     wave: fleet.Wave
@@ -101,7 +105,7 @@
 ) -> None:
     """Remove machines from ``progress.down`` that are back, or gone for good.
 
-    A machine that was off had no worker, so a new worker doesn't show its
+    A machine that was off had no worker whose replacement would show its
     return; it counts as back if it is up after the time that maintenance
     takes.
 
@@ -241,11 +245,11 @@
     There is one if more tasks of a step run there than may be unavailable at
     the same time.
     """
-    here: dict[ledgers.Group, list[ledgers.Task]] = {}
+    tasks_by_step: dict[ledgers.Group, list[ledgers.Task]] = {}
     for task in worker.runs.values():
         if task.group.step.is_long_running:
-            here.setdefault(task.group, []).append(task)
-    for group, tasks in here.items():
+            tasks_by_step.setdefault(task.group, []).append(task)
+    for group, tasks in tasks_by_step.items():
         allowed = max(1, group.step.max_unavailable)
         if (
             len(tasks) > allowed
@@ -270,7 +274,9 @@
 
 
 def _order_key(worker: workers_.Worker | None, now_s: float):
-    """Sort machines: first those that others wait for, then the cheapest.
+    """Return the sort key of a machine.
+
+    Those that others wait for come first, then the cheapest.
 
     Machines with long-running tasks of one step go one after another, each
     once the tasks of the previous one work elsewhere. So they start first, and
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -101,7 +101,11 @@
     )
     standby = {ids.ServiceId('off'): []}
     decision = rebalancing.decide(
-        [past, lacking], standby, rebalancing.demand.Turns(), 1.5, NOW_S
+        [past, lacking],
+        standby,
+        rebalancing.demand.ArrivalHistory(),
+        1.5,
+        NOW_S,
     )
     # Twenty cores take three machines of eight; one is there.
     assert len(decision.to_drain) == 2
@@ -109,6 +113,7 @@
 
 
 def _preempting(first_priority):
+    """Count the machines drained for a pool of the given priority."""
     past = rebalancing.PoolView(
         ids.ServiceId('past'),
         [_member(f'p{i}', {**SAVED, 'cpu': 7000}) for i in range(10)],
@@ -124,7 +129,7 @@
     decision = rebalancing.decide(
         [past, lacking],
         {ids.ServiceId('off'): []},
-        rebalancing.demand.Turns(),
+        rebalancing.demand.ArrivalHistory(),
         1.5,
         NOW_S,
     )
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -460,7 +460,7 @@
 
 
 def _needed(unavailable_cores, waiting_cores):
-    """Return how many machines a pool of two with eight cores each needs."""
+    """Return how many machines a pool of two eight-core machines needs."""
     members = [
         rebalancing.Member(f'm{number}', 8.0, None, unavailable_cores=cores)
         for number, cores in enumerate(unavailable_cores)
--- a/tests/test_revoked_keys.py
+++ b/tests/test_revoked_keys.py
@@ -87,7 +87,7 @@
         await build.configure(world, *LEFT, version=8)
         for other in rows:
             if other is not row:
-                # No other server can judge for it either.
+                # No other server can check its keys either.
                 other.state.configuration_readable = False
                 other.state.configuration_confirmed_s = -1e9
         last_s = await _served_for_s(world, row, build.FIRST)
@@ -159,7 +159,7 @@
 
 
 def test_server_with_an_older_configuration_judges_for_nobody():
-    """It might accept a key that the asking server knows as revoked."""
+    """It might accept a key that the forwarding server knows as revoked."""
 
     async def main(world, rows):
         row = build.follower(rows)
--- a/tests/test_submission.py
+++ b/tests/test_submission.py
@@ -1,4 +1,4 @@
-"""Tests of jobs on their way to the store, and of the term they carry."""
+"""Tests of how jobs are written to the store, and of their term."""
 
 import curio
 import msgspec
--- a/tests/test_tenant_days.py
+++ b/tests/test_tenant_days.py
@@ -124,8 +124,8 @@
             response.status, response.headers, response.body
         )
 
-    real = handler._needs_proof
-    patch.setattr(handler, '_needs_proof', needs)
+    real = handler._needs_recent_configuration
+    patch.setattr(handler, '_needs_recent_configuration', needs)
     patch.setattr(handler, 'handle_forwarded_call', take)
 
 
