--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -113,6 +113,7 @@
 
 
 def _preempting(first_priority):
+    """Count the machines drained for a pool of the given priority."""
     past = rebalancing.PoolView(
         ids.ServiceId('past'),
         [_member(f'p{i}', {**SAVED, 'cpu': 7000}) for i in range(10)],
