--- a/oleanderwood/jobs/crashes.py
+++ b/oleanderwood/jobs/crashes.py
@@ -16,8 +16,8 @@
 moment."""
 
 SETTLED_S = 1.0
-"""Age from which a run isn't suspected beside one that is: tasks that crash
-their workers do so as they start up."""
+"""Age from which a run isn't suspected if a suspected run is on its worker:
+tasks that crash their workers do so as they start up."""
 
 MAX_AGE_DOUBT_MS = 60
 """Largest uncertainty of a run's age at which ages are compared."""
--- a/oleanderwood/jobs/isolation.py
+++ b/oleanderwood/jobs/isolation.py
@@ -44,7 +44,7 @@
 
 
 def crashes_workers(task: ledgers.Task) -> bool:
-    """Return whether a task is held to crash its workers.
+    """Return whether the evidence shows that a task crashes its workers.
 
     Even if the evidence against its gang suffices, one member must have at
     least two known crashes of its own.
--- a/oleanderwood/jobs/ledger.py
+++ b/oleanderwood/jobs/ledger.py
@@ -164,7 +164,7 @@
 class Entry:
     """One job.
 
-    :ivar arrived_s: when this leader took it in
+    :ivar arrived_s: when this leader received it
     :ivar inherited: an earlier leader may have started tasks of it
     :ivar groups: by occurrence and index of the step
     :ivar state: present state
@@ -299,7 +299,7 @@
 
 
 def find(ledger: Ledger, name: ids.TaskId) -> Task | None:
-    """Return the task of a name, or None if there is no such task."""
+    """Return the task with a name, or None if there is no such task."""
     parts = name.split('.')
     entry = ledger.entries.get(ids.JobId(parts[0]))
     if entry is None or len(parts) != 4:
@@ -496,7 +496,7 @@
 
 
 def forget(ledger: Ledger, job: ids.JobId) -> None:
-    """Remove a job once callers may no longer ask for it."""
+    """Remove a job that callers no longer ask for."""
     entry = ledger.entries.pop(job, None)
     ledger.dirty.pop(job, None)
     if entry is not None:
--- a/oleanderwood/jobs/record.py
+++ b/oleanderwood/jobs/record.py
@@ -9,7 +9,8 @@
 from oleanderwood.jobs import model
 
 INTAKE_PREFIX = 'ow/in/'
-"""Keys of all requests of callers and operators."""
+"""Prefix of the keys of all requests: jobs, cancellations and the operators'
+policy."""
 
 JOB_PREFIX = 'ow/in/job/'
 CANCEL_PREFIX = 'ow/in/cancel/'
--- a/oleanderwood/policy/reading.py
+++ b/oleanderwood/policy/reading.py
@@ -125,7 +125,7 @@
     for name, count in collections.Counter(names).items():
         if count > 1:
             yield errors.ConfigurationFault(
-                path, f'{name!r} stands {count} times', 'name it once'
+                path, f'{name!r} is listed {count} times', 'list it once'
             )
 
 
@@ -183,9 +183,9 @@
     return rows
 
 
-def encode(kept: model.StoredPolicy) -> bytes:
+def encode(stored: model.StoredPolicy) -> bytes:
     """Encode a policy for the store."""
-    return msgspec.json.encode(kept)
+    return msgspec.json.encode(stored)
 
 
 def decode(value: bytes) -> model.StoredPolicy:
--- a/oleanderwood/pools/blame.py
+++ b/oleanderwood/pools/blame.py
@@ -36,8 +36,9 @@
     """Attribute the crash of a worker to tasks; return those now suspected.
 
     If a task was on probation there, it is blamed, together with tasks started
-    shortly before the crash. Otherwise all tasks that have not run long enough
-    to be cleared are blamed.
+    shortly before the crash. Otherwise all tasks whose runs are not proven are
+    blamed, or all tasks if there are none. Long-running tasks that have been
+    at work long enough are never blamed.
 
     :param common: the worker went down together with others, so the age of a
         run proves nothing
--- a/oleanderwood/pools/entries.py
+++ b/oleanderwood/pools/entries.py
@@ -1,6 +1,7 @@
 """Unusable entries of workers: why they are refused, and what is remembered.
 
-Pure. Other writers may write next to the workers' own entries, or over them.
+Pure. Other writers may add entries next to the workers' own, or overwrite
+them.
 """
 
 import collections.abc
--- a/oleanderwood/pools/fences.py
+++ b/oleanderwood/pools/fences.py
@@ -1,4 +1,4 @@
-"""Fences: the number in each order below which an executor refuses it. Pure.
+"""Fences: numbers by which executors refuse outdated orders. Pure.
 
 The term distinguishes the orders of a previous leader from those of this one.
 Orders of one term are distinguished by a number that rises within the term: an
@@ -74,7 +74,7 @@
 def is_superseded(
     fences: Fences, executor: ids.ExecutorId, fence: ids.Fence
 ) -> bool:
-    """Return whether its executor was issued a higher fence than an order's.
+    """Return whether an executor was issued a higher fence than an order's.
 
     If such an order is refused for its fence, it may be sent again: it was
     overtaken by a later call of the same leader.
@@ -83,7 +83,7 @@
 
 
 def are_used_up(fences: Fences, executor: ids.ExecutorId) -> bool:
-    """Return whether almost no numbers are left for an executor."""
+    """Return whether only reserved numbers are left for an executor."""
     return number(fences, executor) > NUMBERS_PER_TERM - RESERVED_NUMBERS
 
 
--- a/oleanderwood/pools/incarnations.py
+++ b/oleanderwood/pools/incarnations.py
@@ -4,8 +4,9 @@
 executor's id and, if the executor reports it, its birth time; all state of an
 executor is stored under that name, and so belongs to one incarnation. Birth
 times do not tell which of two incarnations is the later one, since they are
-wall-clock times, which may jump. Calls do: a call that was sent after an
-answer of one incarnation had arrived, and is answered by the other.
+wall-clock times, which may jump. Calls do: if a call that was sent after an
+answer of one incarnation had arrived is answered by the other, the other is
+the later one.
 """
 
 from oleanderwood import ids
@@ -28,7 +29,7 @@
 
 
 def has_birth_time(name: ids.VmId) -> bool:
-    """Return whether the executor reports births, and so may keep its id."""
+    """Return whether an executor reports its birth, and so may keep its id."""
     return _SEPARATOR in name
 
 
--- a/oleanderwood/pools/late_orders.py
+++ b/oleanderwood/pools/late_orders.py
@@ -1,8 +1,9 @@
 """Executors on which an unanswered order may be carried out late. Pure.
 
 An executor that restarts under its id has seen no fence, so the first call
-that reaches its next incarnation sets it. While an order may be in flight, the
-executor has to be called repeatedly, with a fence above that of the order.
+that reaches its next incarnation sets its fence. While an order may be in
+flight, the executor has to be called repeatedly, with a fence above that of
+the order.
 """
 
 import dataclasses
@@ -15,14 +16,15 @@
 """Time in seconds for which an unanswered order may still be carried out."""
 
 MAX_EXECUTORS = 16
-"""Executors that one server calls this way: those with the latest orders."""
+"""Maximal number of executors that one server calls this way; those with the
+latest orders are kept."""
 
 
 class LateOrder(msgspec.Struct, frozen=True):
     """An executor on which an order may be carried out late.
 
     :ivar fence: above that of the order, and not above its leader's
-    :ivar for_s: for how much longer that may happen
+    :ivar for_s: time in seconds for which that may still happen
     """
 
     executor: ids.ExecutorId
@@ -35,7 +37,8 @@
 class UnansweredOrders:
     """The executors that one server calls.
 
-    :ivar until_s: time from which on the order cannot arrive any more
+    :ivar until_s: by executor; time after which the order can no longer
+        arrive
     :ivar unreported: those that other servers have not been notified of yet
     """
 
--- a/oleanderwood/pools/lengths.py
+++ b/oleanderwood/pools/lengths.py
@@ -1,4 +1,4 @@
-"""Learns how long tasks take, compared with their callers' estimates.
+"""Learns how long tasks take, compared with callers' estimates. Pure.
 
 Estimates are off by up to 90% either way. Actual durations of one queue differ
 far less than its estimates, so an estimate far from the mean is mostly wrong.
@@ -45,6 +45,8 @@
     """Estimated and actual durations of the tasks of one queue.
 
     Sums are of logarithms and decay exponentially.
+
+    :ivar weight: number of tasks in the sums, decayed like them
     """
 
     mean_estimate_s: float
--- a/oleanderwood/pools/pacing.py
+++ b/oleanderwood/pools/pacing.py
@@ -15,7 +15,7 @@
 """Part of the latency target at which the pace is halved."""
 
 STOP_AT = 0.95
-"""Part of the latency target at which leftover tasks are stopped."""
+"""Part of the latency target at which leftover tasks are paused (pace 0)."""
 
 RELEASE_AT = 0.55
 """Part of the latency target below which the pace is raised by one step."""
@@ -25,8 +25,8 @@
 
 MIN_PERCENT = 10
 """Lower paces are set to 0: they do harm and make no progress. Below
-``REDUCE_AT`` a stopped task is resumed at this pace. It does not contribute to
-the latency while stopped, so nothing else would ever raise its pace."""
+``REDUCE_AT`` a paused task is resumed at this pace. It does not contribute to
+the latency while paused, so nothing else would ever raise its pace."""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/oleanderwood/pools/placing.py
+++ b/oleanderwood/pools/placing.py
@@ -1,7 +1,7 @@
 """Decides which waiting task starts on which worker. Pure.
 
-Designed for bursts: each queue alternately submits five times its mean load,
-more than its pool can hold, and almost nothing in between.
+Designed for bursts: each queue submits five times its mean load in a burst,
+more than its pool can hold, and almost nothing between bursts.
 """
 
 import collections.abc
@@ -24,9 +24,10 @@
 ]
 
 MAX_LONG_RUNNING_PER_WORKER = 3
-"""Long-running tasks of one step that are packed onto one worker. Packing more
-frees whole machines for other pools; packing fewer speeds up maintenance,
-which has to move them off the machine one at a time."""
+"""Long-running tasks of one step that are packed onto one worker while others
+have free capacity. Packing more frees whole machines for other pools; packing
+fewer speeds up maintenance, which has to move them off the machine one at a
+time."""
 
 LATE_FACTOR = 3.0
 """A job is still useful to its caller up to this multiple of its objective."""
@@ -44,8 +45,8 @@
 
 INCOMPLETE_GANG_S = 0.4
 """Time in seconds after which the running members of a gang that lacks a
-member are stopped. A gang that was complete fails on its own, and the workers
-report that within this time."""
+member are stopped. When a member of a complete gang ends, the others end on
+their own, and the workers report that within this time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -60,6 +61,7 @@
 class FreeCapacity:
     """Free resources of a worker while starts are decided.
 
+    :ivar suspect: the worker seems to fail or stall all that it runs
     :ivar batch_count: tasks on the worker that are not long-running
     :ivar has_latency_tasks: a task on the worker has a latency target
     :ivar leftover_demand_millicores: CPU requested by the tasks that use
@@ -123,7 +125,7 @@
 
 
 def _record_unsettled(free: list[FreeCapacity], now_s: float) -> None:
-    """Set how long a task on each worker could still crash it."""
+    """Set for how long the tasks on each worker may still crash it."""
     for candidate in free:
         for task in candidate.worker.runs.values():
             if not task.run.proven:
@@ -140,8 +142,9 @@
 ) -> list[Placement]:
     """Decide which tasks to start, taking the groups in their order.
 
-    :param max_starts: most starts to decide at once
-    :param quotas: what teams and tenants may still start; it is charged
+    :param max_starts: maximal number of starts to decide
+    :param quotas: what teams and tenants may still start; they are
+        charged for each start
     """
     free = free_capacity(pool, now_s)
     if any(group.suspects for group in groups):
@@ -443,7 +446,7 @@
     """
     if not group.step.one_rack:
         return []
-    # Ordered by worker: the order of a set differs between processes.
+    # In the order of the workers; that of a set differs between processes.
     racks = dict.fromkeys(candidate.rack for candidate in free)
     near = group.step.near_rack
     return [
@@ -551,11 +554,13 @@
 
     Long-running tasks go first, since every second they do not run counts.
     The others are ordered by priority, then by tier: jobs that can still meet
-    their objective, jobs that cannot, and last jobs that are of no more use or
-    exceed their tenant's rate. Within a tier, earlier arrivals go first.
+    their objective, jobs that cannot, and last jobs that are too late to be of
+    use or exceed their tenant's rate. Within a tier, earlier arrivals go
+    first.
 
-    A job started at the last moment would end late and delay the next one; in
-    a burst larger than the pool, every job would be late.
+    Jobs about to miss their objective do not go first: a job started at the
+    last moment would end late and delay the next one, and in a burst larger
+    than the pool every job would be late.
     """
     entry = group.entry
     if group.step.is_long_running:
@@ -587,12 +592,12 @@
     wall_ms: float,
     now_s: float,
     only: set[ids.ServiceId] | None = None,
-    in_turn: TenantOrder = list,
+    tenant_order: TenantOrder = list,
 ) -> dict[ids.ServiceId, list[ledgers.Group]]:
     """Return the groups that are ready to start, in order, by pool.
 
     :param only: pools to include; None: all of them
-    :param in_turn: orders groups of equal urgency by their tenants
+    :param tenant_order: orders groups of equal urgency by their tenants
     """
     ready: dict[ids.ServiceId, list] = {}
     for group in list(ledger.open_groups):
@@ -612,7 +617,7 @@
         service: [
             group
             for _urgency, alike in itertools.groupby(rows, _urgency_of)
-            for group in in_turn([group for _key, group in alike])
+            for group in tenant_order([group for _key, group in alike])
         ]
         for service, rows in ready.items()
     }
@@ -641,7 +646,7 @@
     present: collections.abc.Container[ids.VmId],
     now_s: float,
 ) -> bool:
-    """Return whether advice on a step has to be requested, or requested again.
+    """Return whether advice on a step must be requested, first or again.
 
     :param present: workers that may accept tasks now or later
     """
@@ -656,7 +661,7 @@
     workers: collections.abc.Iterable[workers_.Worker],
     service: ids.ServiceId,
 ) -> bool:
-    """Return whether a worker has joined with a label no advised worker has.
+    """Return whether a new worker has the step's label and no advised one has.
 
     Such a worker is added for this step. While idle it would be removed again
     long before the current advice, which does not include it, expires.
--- a/oleanderwood/pools/quotas.py
+++ b/oleanderwood/pools/quotas.py
@@ -21,8 +21,8 @@
 STARTING = (ledgers.RunPhase.ORDERED, ledgers.RunPhase.UNCONFIRMED)
 
 OVERSHOOT_BELOW_PART = 0.5
-"""Part of its limit up to which a tenant may start a task that exceeds the
-limit."""
+"""A tenant that uses at most this part of its limit may start a task that
+exceeds the limit."""
 
 Limits = collections.abc.Mapping[ids.TenantId, tenants_.Limit]
 
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unseen:
-    """What an earlier leader may have left running without a report yet.
+    """Runs that an earlier leader may have left and no worker has reported.
 
     :ivar groups: steps whose waiting tasks may be running already
     :ivar max_resources: upper bound of their resources; None: unknown
--- a/oleanderwood/pools/shares.py
+++ b/oleanderwood/pools/shares.py
@@ -2,9 +2,9 @@
 
 Designed for a busy hour of a large tenant that fills a pool, where the few
 jobs of small tenants would wait behind all of it. The tenant with the least
-running for its weight goes first; its work that was already ordered counts as
-running, so none gets more than its share at once. A tenant may use all free
-capacity while no other tenant waits.
+running for its weight goes first; its work that already has a place in the
+order counts as running, so none gets more than its share at once. A tenant may
+use all free capacity while no other tenant waits.
 """
 
 import collections
@@ -94,7 +94,7 @@
     gpus: float,
     whole: model.Resources,
 ) -> float:
-    """Return the largest of the shares of the single resources."""
+    """Return the largest share of any one resource."""
     return max(
         cpu_millicores / max(1, whole.cpu_millicores),
         memory_mb / max(1, whole.memory_mb),
--- a/oleanderwood/pools/shortage.py
+++ b/oleanderwood/pools/shortage.py
@@ -63,12 +63,12 @@
 
 
 def _idle_capacity(worker: workers_.Worker) -> placing.FreeCapacity:
-    """Return a worker's resources without its tasks that will end."""
-    cpu = memory = gpus = lasting = 0
+    """Return what is free once all but the long-running tasks have ended."""
+    cpu = memory = gpus = long_running_count = 0
     for task in worker.runs.values():
         step = task.group.step
         if step.is_long_running:
-            lasting += 1
+            long_running_count += 1
             cpu += step.needs.cpu_millicores
             memory += step.needs.memory_mb
             gpus += step.needs.gpus
@@ -81,5 +81,5 @@
         reports.rack(worker.entry),
         False,
         0,
-        lasting,
+        long_running_count,
     )
--- a/oleanderwood/pools/stalls.py
+++ b/oleanderwood/pools/stalls.py
@@ -11,9 +11,10 @@
 """Time in seconds without progress after which a run has stalled. Progress is
 reported in percent, at least once a second."""
 
-MAX_STILL_FACTOR = 0.5
-"""Part of the estimated duration that a run may make no progress, if that is
-longer: a task of minutes progresses by less than one percent a second."""
+MAX_NO_PROGRESS_FACTOR = 0.5
+"""Part of the estimated duration for which a run may make no progress, if that
+is longer than ``STALLED_S``: a task of minutes progresses by less than one
+percent a second."""
 
 STARTUP_S = 6.0
 """Time in seconds within which a long-running task has to be at work."""
@@ -37,7 +38,7 @@
     if task.group.step.is_long_running:
         return run.serving_since_s is None and no_progress_s > STARTUP_S
     estimate_s = task.group.step.guess_ms / 1000
-    return no_progress_s > max(STALLED_S, MAX_STILL_FACTOR * estimate_s)
+    return no_progress_s > max(STALLED_S, MAX_NO_PROGRESS_FACTOR * estimate_s)
 
 
 def _last_progress_s(task: ledgers.Task, run: ledgers.Run) -> float:
--- a/oleanderwood/pools/starvation.py
+++ b/oleanderwood/pools/starvation.py
@@ -2,8 +2,8 @@
 
 Designed for a pool that has given machines away. On the workers that are left,
 such runs are paced down next to latency-sensitive tasks, long-running tasks
-use all CPU, or too many runs share the leftover capacity. No other mechanism
-would move them.
+use all CPU, or too many runs share the leftover capacity. Nothing on these
+workers would free CPU for them.
 """
 
 import collections.abc
@@ -20,8 +20,8 @@
 progresses intermittently does not count as starved."""
 
 MIN_PROGRESS_PART = 0.5
-"""Part of its full rate of progress from which on a run does not count as
-starved. Expected durations may be too long by up to a half."""
+"""A run that makes at least this part of its full rate of progress does not
+count as starved. Expected durations may be too long by up to a half."""
 
 RESTART_COST_S = 1.0
 """Time in seconds that a relocation takes in addition to the work: 0.2 to
@@ -31,7 +31,8 @@
 MAX_RELOCATIONS = 3
 """Times that a task is relocated. The capacity found elsewhere may be taken by
 the time it gets there, and without checkpoints every relocation starts from
-the beginning. After these the task stays and runs at its worker's pace."""
+the beginning. After that many the task stays and runs at the pace that it is
+given."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -159,7 +160,7 @@
 ) -> bool:
     """Reserve capacity for some tasks of a step; return whether they fit.
 
-    A gang that should stay in one rack is only relocated within a single rack:
+    A gang that should stay in one rack is only relocated to a single rack:
     spread over several, it would run slower than it does starved.
     """
     with_leftover = [
--- a/oleanderwood/pools/workers.py
+++ b/oleanderwood/pools/workers.py
@@ -31,9 +31,9 @@
 
 FAILED_TASKS = 3
 FAILED_JOBS = 2
-"""Numbers of failed runs, of different tasks and of different jobs and without
-a successful one in between, after which a worker gets one task at a time. Both
-are needed, since all tasks of a job that cannot succeed fail on any worker."""
+"""A worker on which this many tasks of this many jobs have failed, without a
+successful run in between, gets one task at a time. Both numbers are needed,
+since all tasks of a job that cannot succeed fail on any worker."""
 
 
 class RunName(typing.NamedTuple):
@@ -55,7 +55,7 @@
     :ivar has_reported: it has reported all its runs and ends under this term
     :ivar silent_since_s: when calls to it began to fail; None: it answers
     :ivar silent_after_s: earliest time at which it may have become unreachable
-    :ivar gone: proven: nothing runs on it any more, nor will
+    :ivar gone: it is proven that nothing runs on it any more, nor will
     :ivar own_clock_ms, clock_at_s: its clock, and when that was read
     :ivar lease_end_s: time by which any lease that it may hold has ended
     :ivar seen_end: number of the last end that was processed
@@ -71,7 +71,8 @@
     :ivar orphan_stops_s: when each orphaned run was last ordered to stop
     :ivar unmanaged: steps of unmanaged runs that it lists; they use resources
         until they have been stopped
-    :ivar has_unknown_runs: it lists a run whose needs are unknown
+    :ivar has_unknown_runs: it lists a run of an unknown job, whose needs are
+        unknown too
     :ivar unconfirmed_runs: runs whose start order got no answer and that the
         worker has not listed. They may begin late, in this or the next
         incarnation of the executor
@@ -121,7 +122,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunEvent:
-    """Event of a run that a report revealed, for the log."""
+    """Log event about a run, derived from a report."""
 
     event: str
     task: ids.TaskId
@@ -202,7 +203,8 @@
     """Apply a worker's report.
 
     :param sent_s: when the call that the report answers was sent
-    :param most_attempts: returns how often a task of a job may fail
+    :param most_attempts: returns the number of failures of a task at which its
+        job fails
     """
     outcome = Outcome()
     for row in [*report.ended, *report.running]:
@@ -359,10 +361,10 @@
 
 
 def is_established(task: ledgers.Task, now_s: float) -> bool:
-    """Return whether a long-running task has worked long enough.
+    """Return whether a long-running task has been at work long enough.
 
-    Such a task is not blamed for a crash: every worker crashes at some time,
-    and over a long run several may.
+    Such a task is trusted and not blamed for a crash: every worker crashes at
+    some time, and over a long run several may.
     """
     if not task.group.step.is_long_running:
         return False
@@ -518,7 +520,7 @@
 
 
 def may_run(worker: Worker, now_s: float) -> bool:
-    """Return whether something may run on a worker, known or not."""
+    """Return whether a worker may run anything, known to the leader or not."""
     return worker.fenced or now_s <= worker.lease_end_s
 
 
--- a/oleanderwood/tenants/model.py
+++ b/oleanderwood/tenants/model.py
@@ -8,7 +8,7 @@
 
 
 class Limit(msgspec.Struct, frozen=True):
-    """Limit of what a tenant runs in all pools together; 0 for no limit."""
+    """Limit of what a tenant may run in all pools together; 0 for no limit."""
 
     cpu_millicores: int = 0
     memory_mb: int = 0
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -25,7 +25,7 @@
     return Crash(attempt, age_ms, doubt_ms, isolated)
 
 
-GUILTY = {
+CONCLUSIVE = {
     'twice at once, the second isolated': [
         _crash(1, EARLY_MS),
         _crash(2, EARLY_MS, True),
@@ -49,7 +49,7 @@
     ],
 }
 
-NOT_GUILTY = {
+INCONCLUSIVE = {
     'one crash': [_crash(1, EARLY_MS, True)],
     'twice at once beside others': [_crash(1, EARLY_MS), _crash(2, EARLY_MS)],
     'at once, then late where nothing else was': [
@@ -80,15 +80,15 @@
 }
 
 
-@pytest.mark.parametrize('name', GUILTY)
+@pytest.mark.parametrize('name', CONCLUSIVE)
 def test_task_is_given_up(name):
-    assert crashes_.is_conclusive(GUILTY[name])
-    assert not crashes_.is_conclusive(GUILTY[name][:-1])
+    assert crashes_.is_conclusive(CONCLUSIVE[name])
+    assert not crashes_.is_conclusive(CONCLUSIVE[name][:-1])
 
 
-@pytest.mark.parametrize('name', NOT_GUILTY)
+@pytest.mark.parametrize('name', INCONCLUSIVE)
 def test_task_is_not_given_up(name):
-    assert not crashes_.is_conclusive(NOT_GUILTY[name])
+    assert not crashes_.is_conclusive(INCONCLUSIVE[name])
 
 
 def test_no_task_is_started_a_third_time_after_three_crashes():
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -68,9 +68,9 @@
     )
     for part in (
         'pools[0].min_up',
-        "'a' stands 2 times",
+        "'a' is listed 2 times",
         'pools[2]',
-        "'q' stands 2 times",
+        "'q' is listed 2 times",
         'teams[0].max_cores',
         'maintenance.not_between[0]',
         'weights.moves',
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -39,7 +39,7 @@
         lengths.Lengths(),
         0.0,
         1.0,
-        in_turn=lambda groups: shares.order_by_share(
+        tenant_order=lambda groups: shares.order_by_share(
             groups, quotas, weights or WEIGHTS, WHOLE
         ),
     )
