--- a/oleanderwood/leading/confirmation.py
+++ b/oleanderwood/leading/confirmation.py
@@ -44,6 +44,8 @@
 class ContactAnswer(msgspec.Struct, frozen=True):
     """A server's view of the store and of who leads.
 
+    :ivar term: term of the last leader that the server knows; 0 if none
+    :ivar contact_age_s: age of the last call that the store answered
     :ivar process: id of the server's incarnation, which is ``age_s`` old;
         empty from servers of an earlier release
     :ivar leading_term: the term that this server leads itself; 0 if none
--- a/oleanderwood/leading/election.py
+++ b/oleanderwood/leading/election.py
@@ -80,7 +80,9 @@
 async def _run_for_leader(server: states.Server) -> tuple[int, int] | None:
     """Try to become the leader; return the term and the key's revision.
 
-    :raises errors.CallFailed: the write was refused or not answered
+    :raises errors.CallFailed: the write was refused or not answered; the
+        verdict says whether it may have been carried out
+    :raises stores.LeaseEnded: the lease does not exist any more
     """
     roles = server.roles
     last = roles.leader.term if roles.leader else 0
--- a/oleanderwood/leading/intake.py
+++ b/oleanderwood/leading/intake.py
@@ -1,4 +1,4 @@
-"""Applies jobs, cancels, workers and waves that the leader reads."""
+"""Applies jobs, cancels, policies, worker entries and maintenance waves."""
 
 import curio
 import msgspec
@@ -174,7 +174,7 @@
 
 
 async def wake_after_intake(leader: states.Leader) -> None:
-    """Wake the tasks that newly added jobs and cancels concern."""
+    """Stop runs of ended jobs and wake the tasks that new jobs concern."""
     if leader.deposed:
         await leader.ended.set()
         return
@@ -381,7 +381,7 @@
         try:
             fleet_loop.restore(progress, stored)
         except msgspec.MsgspecError as error:
-            # Machines that have begun are ordered again, without effect.
+            # Orders already sent are sent again, without effect.
             event_log.emit('wave', 'kept-malformed', why=str(error))
     event_log.emit(
         'wave',
--- a/oleanderwood/leading/lease.py
+++ b/oleanderwood/leading/lease.py
@@ -109,7 +109,9 @@
 
 
 def _has_row(server: states.Server) -> bool:
-    """Return whether the store is known to have the server's row.
+    """Return whether the store has the server's row, as far as is known.
+
+    True as long as the roles have not been read.
 
     An unanswered write may be carried out late, under a lease that has expired
     or that expires unused; the row is removed with that lease.
@@ -211,7 +213,7 @@
 
 
 def store_contact(server: states.Server) -> watcher.StoreContact:
-    """Return the contact that followers of the store share with a server."""
+    """Return how followers of the store notify a server and vice versa."""
 
     async def note(sent_s: float) -> None:
         await note_contact(server, sent_s)
--- a/oleanderwood/leading/previous_leaders.py
+++ b/oleanderwood/leading/previous_leaders.py
@@ -45,7 +45,7 @@
 
 
 def leases_end_s(leader: states.Leader, now_s: float) -> float:
-    """Return when all leases granted by earlier leaders have expired."""
+    """Return a time by which all leases of earlier leaders have expired."""
     acts_s = LONG_WAIT_S if _unended_terms(leader) else SHORT_WAIT_S
     return now_s + acts_s + max_lease_s(leader)
 
@@ -79,7 +79,7 @@
 async def _ask_for_end(
     leader: states.Leader, row: roles_.Leader
 ) -> float | None:
-    """Return when an earlier leader has ended; None if that is unknown.
+    """Return a time by which an earlier leader had ended; None if unknown.
 
     An earlier leader ends its term when it hears of a later one. Another
     process at its address started after the earlier incarnation had ended.
--- a/oleanderwood/leading/progress_writer.py
+++ b/oleanderwood/leading/progress_writer.py
@@ -49,8 +49,8 @@
 async def write_worker_lists_always(leader: states.Leader) -> None:
     """Write changed worker lists until cancelled.
 
-    Jobs don't wait for them: if machines move all the time and the store is
-    slow, worker lists change faster than they can be written.
+    Progress is written independently of them: if machines move all the time
+    and the store is slow, worker lists change faster than they can be written.
     """
     failed = False
     while True:
@@ -108,7 +108,7 @@
 async def _write_batch(
     leader: states.Leader, entries: list[ledgers.Entry]
 ) -> None:
-    """Write a batch of jobs; failed jobs become unwritten again."""
+    """Write a batch of jobs; after a failure they count as unwritten."""
     try:
         await _write_jobs(leader, entries)
     except stores.Conflict:
@@ -244,7 +244,8 @@
 def worker_list_key(service: ids.ServiceId) -> str:
     """Return the key of a pool's worker list, for pool names of any length.
 
-    A key that the store refuses would block the writes of worker lists.
+    A key that the store refuses would block the writes of worker lists, and a
+    worker gets tasks only once its list is written.
     """
     key = WORKER_LIST_PREFIX + service
     short = len(key.encode()) <= stores.MAX_KEY_BYTES
--- a/oleanderwood/leading/registration.py
+++ b/oleanderwood/leading/registration.py
@@ -30,8 +30,8 @@
     )
     name = entry.worker
     leader.workers[name] = worker
-    # This incarnation then refuses orders that an earlier one left
-    # unanswered.
+    # This incarnation then refuses orders that were sent to an
+    # earlier one and not answered.
     states.raise_fence(leader, worker)
     known = leader.incarnations.setdefault(incarnations.executor_of(name), {})
     known[name] = None
--- a/oleanderwood/leading/roles.py
+++ b/oleanderwood/leading/roles.py
@@ -18,13 +18,15 @@
 once it is gone."""
 
 ENDED_KEY = 'ow/roles/ended'
-"""Key of a term whose leader and all earlier leaders have certainly ended."""
+"""Its value is a term whose leader and all earlier ones have certainly
+ended."""
 
 SERVER_PREFIX = 'ow/roles/server/'
 
 REMOVED_ROW_RETENTION_S = 10.0
-"""Time for which a server whose row was removed still counts, in seconds: it
-may reach the store again, and lead, while this server can't."""
+"""Time for which a server whose row was removed still counts among the other
+servers, in seconds: it may reach the store again, and lead, while this server
+cannot."""
 
 
 class Leader(msgspec.Struct, frozen=True):
@@ -207,7 +209,7 @@
 
 
 def peers(roles: Roles, process: str) -> list[Server]:
-    """Return the other servers."""
+    """Return the servers other than the given process."""
     return [
         server
         for server in roles.servers.values()
--- a/oleanderwood/leading/state.py
+++ b/oleanderwood/leading/state.py
@@ -37,7 +37,7 @@
 SERVER_LEASE_S = 1.5
 """Duration of a server's lease in the store, in seconds; another server can
 take over from a dead leader once it has expired. With a shorter lease, a slow
-store could not be told from an unreachable one."""
+store could not be distinguished from an unreachable one."""
 
 TASK_LEASE_S = 5.0
 """Duration of a worker's lease on its tasks, in seconds. It must outlive a
@@ -118,7 +118,7 @@
 
 
 def _now_s() -> float:
-    """Return the time of the current clock, which tests may replace later."""
+    """Read the clock at call time, as tests may replace it after import."""
     return clock.now_s()
 
 
@@ -190,7 +190,8 @@
     :ivar missing_workers: workers that the last list did not contain
     :ivar waves: maintenance waves by number
     :ivar stored_waves: encoded progress of waves, as stored by earlier leaders
-    :ivar first_sizes: number of machines of each pool before its first move
+    :ivar first_sizes: number of machines of each pool before the first
+        announced order
     :ivar needs: number of machines that each pool needs now
     :ivar shortage_logged_s: time at which a shortage of machines was last
         logged
@@ -276,13 +277,13 @@
         all changes of the workers' entries are known
     :ivar workers: workers by id; each is one incarnation of an executor
     :ivar incarnations: incarnations of each executor that are not known to
-        have ended, in the order of first contact
+        have ended, in the order of registration
     :ivar ended_incarnations: incarnations found to have ended that have not
         been reported yet
     :ivar recently_gone: time at which each recently lost worker was found to
         be gone
-    :ivar arrivals_s: recent arrival times, by tenant, of jobs within the
-        tenant's share
+    :ivar arrivals_s: recent arrival times, by tenant, of jobs within the rate
+        that the tenant's weight allows
     :ivar limits_logged_s: time at which a tenant's limit was last logged
     :ivar starved_until_s: steps whose runs are starved of CPU and would finish
         sooner on another machine than their pool has, with the time until
@@ -398,7 +399,8 @@
 ) -> workers_.Worker | None:
     """Return the incarnation of an executor that answered last.
 
-    If none has answered, return the one contacted last; None if there is none.
+    If none has answered, return the one registered last; None if there is
+    none.
     """
     known = incarnations_of(leader, executor)
     return max(
@@ -415,7 +417,7 @@
 
 
 def fence_number(leader: Leader, worker: workers_.Worker) -> int:
-    """Return that fence's number within its term, for the log."""
+    """Return the number of that order's fence within the term, for the log."""
     executor = incarnations.executor_of(worker.entry.worker)
     return fences_.number(leader.fences, executor)
 
--- a/oleanderwood/leading/term.py
+++ b/oleanderwood/leading/term.py
@@ -47,8 +47,8 @@
 
 WATCH_TIMEOUT_S = 1.0
 """Maximum duration of a watch, in seconds. A dead connection is detected after
-this time plus the client's own allowance, early enough for a change of the
-configuration."""
+this time plus what the client allows in addition, early enough for a change of
+the configuration."""
 
 ROLE_CHECK_INTERVAL_S = 0.05
 """Interval between two checks of who leads, in seconds."""
@@ -214,7 +214,7 @@
 
 
 async def _load_state(leader: states.Leader) -> int:
-    """Load all stored state and return the revision of the jobs.
+    """Load all stored state; return the revision at which jobs were read.
 
     :raises errors.CallFailed: the store did not answer
     """
@@ -278,7 +278,7 @@
 
 
 def _callable_workers(item: stores.Item) -> list[reports.Entry]:
-    """Decode a stored worker list, without workers that can't be called.
+    """Decode a stored worker list, without workers that cannot be called.
 
     A worker that cannot be called was never given a task.
 
@@ -307,7 +307,7 @@
 
 
 def _restore_arrivals(leader: states.Leader) -> None:
-    """Restore the recent arrivals of each pool from the stored jobs."""
+    """Restore arrival times of jobs, and recent arrivals of each pool."""
     now_s = clock.now_s()
     wall_ms = clock.wall_ms()
     entries = list(leader.ledger.entries.values())
@@ -406,7 +406,7 @@
 
 
 async def _watch_role(leader: states.Leader) -> None:
-    """End the term if another server leads or should, or on a stop."""
+    """End the term if another server leads or should lead, or at a stop."""
     server = leader.server
     while not leader.deposed:
         asleep_s = clock.now_s()
--- a/oleanderwood/leading/watcher.py
+++ b/oleanderwood/leading/watcher.py
@@ -21,7 +21,8 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoreContact:
-    """Callbacks between a follower of the store and the rest of the server.
+    """How a follower of the store and the rest of the server notify each
+    other.
 
     :ivar on_answer: called with the send time of each answered call
     :ivar store_back: set when the store answers again after an outage
--- a/tests/test_previous_leader_ended.py
+++ b/tests/test_previous_leader_ended.py
@@ -153,7 +153,7 @@
 
 
 def test_outage_with_an_unreachable_server_stops_no_leader():
-    """Users reported outages of 9.5 s, often with one server unreachable."""
+    """Users reported outages of 9.5 s; often one server is unreachable too."""
     acted = []
 
     async def scenario(scene):
--- a/tests/test_takeover_defects.py
+++ b/tests/test_takeover_defects.py
@@ -1,4 +1,4 @@
-"""Defects injected around changes of leader, revealed by certain days."""
+"""Defects around changes of leader, which the days named must reveal."""
 
 import dataclasses
 
