--- a/oleanderwood/leading/confirmation.py
+++ b/oleanderwood/leading/confirmation.py
@@ -94,8 +94,8 @@
                 event_log.emit('leader', 'lease-back')
                 confirmed = False
             continue
-        longest_s = leader.lease_renewed_s + MAX_UNREACHED_S
-        if now_s >= longest_s:
+        max_until_s = leader.lease_renewed_s + MAX_UNREACHED_S
+        if now_s >= max_until_s:
             if confirmed:
                 event_log.emit(
                     'leader',
@@ -107,7 +107,7 @@
             if not confirmed:
                 event_log.emit('leader', 'confirmed')
             confirmed = True
-            leader.confirmed_until_s = min(now_s + CONFIRMATION_S, longest_s)
+            leader.confirmed_until_s = min(now_s + CONFIRMATION_S, max_until_s)
         await curio.sleep(CHECK_INTERVAL_S)
 
 
@@ -129,8 +129,8 @@
     server = leader.server
     others = roles_.recent_peers(server.roles, server.process, clock.now_s())
     answers = await ask_all(leader, [row.address for row in others])
-    known = [answer for answer in answers if answer is not None]
-    for answer in known:
+    answered = [answer for answer in answers if answer is not None]
+    for answer in answered:
         if answer.term > leader.term:
             await states.depose(leader, 'another server knows a higher term')
             return False
@@ -141,12 +141,12 @@
                 why='another server reaches the store',
             )
             return False
-    enough = bool(known) and 2 * len(known) >= len(others)
+    enough = bool(answered) and 2 * len(answered) >= len(others)
     if not enough:
         event_log.emit(
             'leader',
             'not-confirmed',
-            why=f'{len(known)} of {len(others)} servers answered',
+            why=f'{len(answered)} of {len(others)} servers answered',
         )
     return enough
 
--- a/oleanderwood/leading/election.py
+++ b/oleanderwood/leading/election.py
@@ -33,12 +33,12 @@
     """Lead whenever no other server does, until the server stops."""
     while not server.stopping:
         await server.roles_changed.wait(MAX_CHECK_INTERVAL_S)
-        if not _can_run(server):
+        if not _can_run_for_leader(server):
             continue
         rank = roles_.candidate_rank(server.roles, server.settings.name)
         if not _owns_liveness_key(server):
             await curio.sleep(rank * HEAD_START_S)
-        if not _can_run(server) or server.stopping:
+        if not _can_run_for_leader(server) or server.stopping:
             continue
         try:
             won = await _run_for_leader(server)
@@ -51,7 +51,7 @@
             await curio.sleep(RETRY_PAUSE_S)
 
 
-def _can_run(server: states.Server) -> bool:
+def _can_run_for_leader(server: states.Server) -> bool:
     """Return whether nobody is known to lead and this server could."""
     roles = server.roles
     if not roles.is_loaded or server.configuration is None:
--- a/oleanderwood/leading/leadership_transfer.py
+++ b/oleanderwood/leading/leadership_transfer.py
@@ -27,7 +27,7 @@
 """How long a leader must be overloaded before it yields, in seconds; a
 takeover, which reads all jobs, takes less."""
 
-EQUAL_FACTOR = 0.9
+MIN_SIZE_FACTOR = 0.9
 """Minimum size, as a fraction of its own, of a server that an overloaded
 leader yields to."""
 
@@ -75,6 +75,6 @@
         lateness.overloaded_since_s is not None
         and now_s - lateness.overloaded_since_s >= OVERLOAD_DURATION_S
     )
-    if overloaded and largest >= EQUAL_FACTOR * own_cores:
+    if overloaded and largest >= MIN_SIZE_FACTOR * own_cores:
         return f'its timers are {lateness.late_s:.2f} s late on average'
     return ''
--- a/oleanderwood/leading/lease.py
+++ b/oleanderwood/leading/lease.py
@@ -83,8 +83,8 @@
 
 def lease_s(server: states.Server) -> float:
     """Return the duration of a lease, in seconds, as the store allows it."""
-    least_s = server.settings.store_lease_min_ms / 1000
-    return max(states.SERVER_LEASE_S, least_s)
+    min_s = server.settings.store_lease_min_ms / 1000
+    return max(states.SERVER_LEASE_S, min_s)
 
 
 async def _grant(server: states.Server) -> GrantedLease:
--- a/oleanderwood/leading/previous_leaders.py
+++ b/oleanderwood/leading/previous_leaders.py
@@ -36,6 +36,7 @@
 by other servers."""
 
 FOREVER_S = 1e9
+"""A term ends when one of its loops returns, so a finished loop sleeps."""
 
 
 def max_lease_s(leader: states.Leader) -> float:
@@ -46,8 +47,8 @@
 
 def leases_end_s(leader: states.Leader, now_s: float) -> float:
     """Return a time by which all leases of earlier leaders have expired."""
-    acts_s = LONG_WAIT_S if _unended_terms(leader) else SHORT_WAIT_S
-    return now_s + acts_s + max_lease_s(leader)
+    order_wait_s = LONG_WAIT_S if _unended_terms(leader) else SHORT_WAIT_S
+    return now_s + order_wait_s + max_lease_s(leader)
 
 
 def _unended_terms(leader: states.Leader) -> list[int]:
--- a/oleanderwood/leading/state.py
+++ b/oleanderwood/leading/state.py
@@ -57,9 +57,9 @@
         self.is_set = True
         await self._event.set()
 
-    async def wait(self, longest_s: float) -> None:
+    async def wait(self, max_s: float) -> None:
         """Wait for the signal, or until the time is over."""
-        async with curio.ignore_after(longest_s):
+        async with curio.ignore_after(max_s):
             await self._event.wait()
         self._event.clear()
         self.is_set = False
@@ -266,6 +266,7 @@
     :ivar deposed: reason why the leader must stop; empty while it leads
     :ivar worker_lists_unread_until_s: time by which the leases have expired of
         the workers whose stored worker list could not be decoded
+    :ivar early_cancels: jobs whose cancel was read before the job itself
     :ivar unreadable_jobs: jobs whose stored progress could not be decoded
     :ivar lease_renewed_s: send time of the latest renewal of the lease that
         the leader's liveness key is attached to
--- a/oleanderwood/leading/watcher.py
+++ b/oleanderwood/leading/watcher.py
@@ -52,7 +52,7 @@
     :param revision: revision of the store at which all items below the prefix
         were read; None if they were not read yet
     """
-    lost_s = None
+    lost_since_s = None
     while True:
         sent_s = clock.now_s()
         try:
@@ -73,17 +73,17 @@
             revision = None
             continue
         except errors.CallFailed as error:
-            if lost_s is None:
-                lost_s = sent_s
+            if lost_since_s is None:
+                lost_since_s = sent_s
                 event_log.emit(
                     'store', 'lost', prefix=prefix, why=error.reason
                 )
             await curio.sleep(RETRY_PAUSE_S)
             continue
-        if lost_s is not None:
-            after_s = round(clock.now_s() - lost_s, 2)
+        if lost_since_s is not None:
+            after_s = round(clock.now_s() - lost_since_s, 2)
             event_log.emit('store', 'back', prefix=prefix, after_s=after_s)
-            lost_s = None
+            lost_since_s = None
         await contact.on_answer(sent_s)
 
 
--- a/tests/test_gap_in_acting.py
+++ b/tests/test_gap_in_acting.py
@@ -42,7 +42,7 @@
     }
 
 
-def _note_renewals(scene, address) -> list[int]:
+def _record_acknowledged(scene, address) -> list[int]:
     """Return a list of the ends acknowledged at an address from now on."""
     handler = scene.network.handlers[address]
     acknowledged: list[int] = []
@@ -76,7 +76,7 @@
         executor = utils_restarts.machine_at(scene, begun[0]).executor
         await curio.sleep(0.4 * GAP_S)
         fence = executor.fence
-        acknowledged = _note_renewals(scene, begun[0])
+        acknowledged = _record_acknowledged(scene, begun[0])
         scene.store.down = ''
         scene.network.cuts.clear()
         await curio.sleep(3.0)
--- a/tests/test_takeover_defects.py
+++ b/tests/test_takeover_defects.py
@@ -22,12 +22,12 @@
     """Make leaders add jobs as if accepted under another term."""
     take = intake._add_job
 
-    def blind(leader, job, now_s, taking_over, revision=0):
+    def add_under_other_term(leader, job, now_s, taking_over, revision=0):
         term = term_of(leader, job, taking_over)
         job = msgspec.structs.replace(job, term=term)
         take(leader, job, now_s, taking_over, revision)
 
-    patch.setattr(intake, '_add_job', blind)
+    patch.setattr(intake, '_add_job', add_under_other_term)
 
 
 def _ignore_terms(patch):
@@ -82,9 +82,9 @@
 
 
 def _day(seed, *rows):
-    drawn = tuple(troubles.Trouble(*row) for row in rows)
+    faults = tuple(troubles.Trouble(*row) for row in rows)
     plan = utils_days.takeover_day(seed)
-    return dataclasses.replace(plan, press_gap_s=0.1, troubles=drawn)
+    return dataclasses.replace(plan, press_gap_s=0.1, troubles=faults)
 
 
 STORE_LAPSE_AND_PARTITION = (Kind.STORE_LAPSES_PARTED,)
