--- a/oleanderwood/leading/previous_leaders.py
+++ b/oleanderwood/leading/previous_leaders.py
@@ -36,6 +36,7 @@
 by other servers."""
 
 FOREVER_S = 1e9
+"""A term ends when one of its loops returns, so a finished loop sleeps."""
 
 
 def max_lease_s(leader: states.Leader) -> float:
@@ -45,9 +46,9 @@
 
 
 def leases_end_s(leader: states.Leader, now_s: float) -> float:
-    """Return when all leases granted by earlier leaders have expired."""
-    acts_s = LONG_WAIT_S if _unended_terms(leader) else SHORT_WAIT_S
-    return now_s + acts_s + max_lease_s(leader)
+    """Return a time by which all leases of earlier leaders have expired."""
+    order_wait_s = LONG_WAIT_S if _unended_terms(leader) else SHORT_WAIT_S
+    return now_s + order_wait_s + max_lease_s(leader)
 
 
 def _unended_terms(leader: states.Leader) -> list[int]:
@@ -79,7 +80,7 @@
 async def _ask_for_end(
     leader: states.Leader, row: roles_.Leader
 ) -> float | None:
-    """Return when an earlier leader has ended; None if that is unknown.
+    """Return a time by which an earlier leader had ended; None if unknown.
 
     An earlier leader ends its term when it hears of a later one. Another
     process at its address started after the earlier incarnation had ended.
