--- a/oleanderwood/leading/advising.py
+++ b/oleanderwood/leading/advising.py
@@ -15,11 +15,11 @@
 """Interval between two checks for steps without advice."""
 
 RETRY_S = 2.0
-"""Time after which advice is requested again for a step that no present worker
-suits."""
+"""Time after which advice is requested again for a step for which no current
+worker is suitable."""
 
 EXPIRY_MARGIN_S = 0.3
-"""How much earlier than the platform the leader takes a ticket for expired."""
+"""How much earlier than the platform the leader treats a ticket as expired."""
 
 
 async def advise_always(leader: states.Leader, calls: advice.Advice) -> None:
@@ -33,7 +33,7 @@
         if group is None:
             await curio.sleep(POLL_INTERVAL_S)
             continue
-        await _ask(leader, calls, group)
+        await _request_advice(leader, calls, group)
 
 
 def _next_step(leader: states.Leader) -> ledgers.Group | None:
@@ -46,8 +46,8 @@
         for name, worker in leader.workers.items()
         if not worker.entry.draining
     }
-    held = relocating.starved_groups(leader, now_s)
-    for group in [*leader.ledger.open_groups, *held]:
+    starved = relocating.starved_groups(leader, now_s)
+    for group in [*leader.ledger.open_groups, *starved]:
         queue = placing.queue_of(group.entry, known)
         if not queue.needs_advice:
             continue
@@ -61,7 +61,7 @@
     return None
 
 
-async def _ask(
+async def _request_advice(
     leader: states.Leader, calls: advice.Advice, group: ledgers.Group
 ) -> None:
     known = states.known_queues(leader)
@@ -75,7 +75,7 @@
     asked_s = clock.now_s()
     group.advised_until_s = asked_s + RETRY_S
     group.asked = frozenset(workers)
-    # Old tickets must not be used until the answer is there.
+    # The old tickets may expire before the answer arrives.
     group.tickets = None
     if not workers:
         return
--- a/oleanderwood/leading/dispatch.py
+++ b/oleanderwood/leading/dispatch.py
@@ -29,7 +29,7 @@
     """Send a worker's queued orders one after another until it is gone."""
     name = worker.entry.worker
     if leader.workers.get(name) is not worker:
-        # It was gone before this task began; another worker may have its id.
+        # It was gone before this loop began; another worker may have its id.
         return
     orders = leader.orders[name]
     while True:
@@ -82,7 +82,7 @@
         await _start_unanswered(leader, worker, task, run, error)
         return
     except curio.CancelledError:
-        # The next leader's log shows the run, and this line who started it.
+        # The next leader's log shows the run; this line shows who started it.
         _log_start(leader, worker, task, run, 'left', 'the term has ended')
         states.raise_fence(leader, worker)
         await late_orders.record_unanswered(leader, worker)
@@ -110,8 +110,8 @@
 def _may_start(leader: states.Leader, task: ledgers.Task) -> bool:
     """Return whether the leader may start a task now.
 
-    If a later leader may exist, it may have read the end of a run that this
-    leader marked as lost.
+    A later leader, if there may be one, may have read the end of a run that
+    this leader marked as lost.
     """
     if task.presumed_over and not states.holds_lease(leader):
         return False
@@ -179,7 +179,7 @@
 
 
 def _mark_unconfirmed(task: ledgers.Task, run: ledgers.Run) -> None:
-    """Mark a start as unconfirmed; its run still counts on its worker.
+    """Mark a start as unconfirmed; its worker is not taken for gone yet.
 
     The worker can be marked as gone only while the leader's lease is in force.
     """
@@ -190,7 +190,7 @@
 async def _renew_later(
     leader: states.Leader, worker: workers_.Worker, after_s: float
 ) -> None:
-    """Renew a worker once a probation run there should be over.
+    """Renew a worker once a run on probation there should be over.
 
     Otherwise an idle worker reports nothing for two seconds, while other tasks
     wait.
--- a/oleanderwood/leading/fleet_loop.py
+++ b/oleanderwood/leading/fleet_loop.py
@@ -1,4 +1,4 @@
-"""The leader's maintenance orders to machines, by waves."""
+"""The leader's maintenance of machines in waves."""
 
 import dataclasses
 
@@ -34,6 +34,7 @@
 """Pause before a machine that refused an order is ordered again."""
 
 WAVES_PREFIX = 'ow/waves/'
+"""Prefix of the store keys of waves' states."""
 
 
 class StoredWave(msgspec.Struct, frozen=True):
@@ -131,16 +132,16 @@
     wave of 116 machines one task was stopped every five seconds, and its
     machine's maintenance was late.
     """
-    home = leader.workers.get(task.run.worker)
-    if home is None:
+    current = leader.workers.get(task.run.worker)
+    if current is None:
         return
-    pool = home.entry.service
+    pool = current.entry.service
     others = [
         worker
         for worker in leader.workers.values()
         if worker.entry.service == pool
         and worker.is_in_stored_list
-        and worker is not home
+        and worker is not current
         and not worker.maintenance_due
     ]
     if not placing.has_free_capacity(task.group, others, clock.now_s()):
--- a/oleanderwood/leading/late_orders.py
+++ b/oleanderwood/leading/late_orders.py
@@ -39,6 +39,7 @@
 """Timeout of notifying one of these servers."""
 
 IDLE_WAIT_S = 1e9
+"""Timeout of waits that only an event ends."""
 
 
 async def record_unanswered(
@@ -47,7 +48,7 @@
     """Record that an order to a worker got no answer.
 
     Needed only where incarnations share an id: elsewhere the next incarnation
-    refuses the order because of its own id.
+    refuses the order, which names the id of the earlier one.
     """
     if not incarnations.has_birth_time(worker.entry.worker):
         return
@@ -65,7 +66,7 @@
 async def start_probing(
     server: states.Server, orders: list[late_orders.LateOrder]
 ) -> None:
-    """Start probing some executors."""
+    """Start probing the executors of some orders."""
     for order in orders:
         late_orders.add(server.late_order_executors, order, clock.now_s())
         event_log.emit(
@@ -108,7 +109,7 @@
     calls: executors.Executors,
     order: late_orders.LateOrder,
 ) -> None:
-    """Send an executor a fence; its report is left to the leader."""
+    """Send an executor a fence; only the leader processes its reports."""
     entry = reports.Entry(
         ids.VmId(order.executor), ids.ServiceId(''), order.address
     )
--- a/oleanderwood/leading/losses.py
+++ b/oleanderwood/leading/losses.py
@@ -28,7 +28,7 @@
     """
     now_s = clock.now_s()
     losses = workers_.record_losses(worker, now_s)
-    # A worker that drains, or is about to be ordered down, may crash before.
+    # A worker that drains, or is about to be ordered down, may crash first.
     if planned or (worker.entry.draining and blame.are_settled(losses)):
         return losses
     common = _is_correlated(leader, worker, now_s)
@@ -52,7 +52,7 @@
 ) -> bool:
     """Return whether a worker failed together with others.
 
-    Others count if they are gone, or silent for now.
+    Others count if they are gone, or silent at present.
     """
     gone_s = now_s if worker.silent_since_s is None else worker.silent_since_s
     recent = {
--- a/oleanderwood/leading/machine_handover.py
+++ b/oleanderwood/leading/machine_handover.py
@@ -2,7 +2,7 @@
 
 The platform requires a pause between the orders of two leaders for the same
 machine. Each order is announced in the store before it is sent, so that a
-later leader knows for which machines it has to wait, and for which not.
+later leader knows which machines it may order only after the pause.
 """
 
 import msgspec
@@ -14,6 +14,7 @@
 from oleanderwood.leading import state as states
 
 KEY = 'ow/machine-orders'
+"""Store key of the announcements."""
 
 SEND_WINDOW_MS = 500.0
 """Longest time from an order's announcement until it is sent; this takes a few
@@ -28,8 +29,8 @@
 uses; the rest covers orders that a previous leader has just sent."""
 
 BURST_S = 0.5
-"""Orders that may be sent at once, as the time in which they accrue: a burst
-of demand needs to move a tenth of the fleet in one pass."""
+"""Size of a burst of orders, as the time in which so many accrue: a burst of
+demand needs to move a tenth of the fleet in one pass."""
 
 
 class Announcements(msgspec.Struct, frozen=True):
--- a/oleanderwood/leading/pool_loop.py
+++ b/oleanderwood/leading/pool_loop.py
@@ -33,8 +33,7 @@
 from oleanderwood import server_metrics
 
 LIST_LAG_S = 1.0
-"""How long a worker's entry may precede its appearance in the machine
-list."""
+"""How long before the machine list a worker's entry may show the worker."""
 
 SHORTAGE_LOG_INTERVAL_S = 1.0
 """Interval between two log lines on pools that lack machines."""
@@ -126,7 +125,7 @@
         now_s - leader.fleet.machines_read_s > MAX_LIST_AGE_S
         or configuration is None
     ):
-        await _set_emptying(leader, [])
+        await _set_reclaimed(leader, [])
         return
     leader.fleet.arrival_history.pools = frozenset(
         queue.service for queue in configuration.queues
@@ -145,7 +144,7 @@
     moves = decision.moves[: machine_handover.allowance(leader)]
     leader.fleet.needs = decision.needs
     _log_shortage(leader, views, decision.needs, now_s)
-    await _set_emptying(leader, decision.to_drain)
+    await _set_reclaimed(leader, decision.to_drain)
     if not moves:
         return
     names = [move.machine for move in moves]
@@ -156,7 +155,7 @@
     await read_machines(leader)
 
 
-async def _set_emptying(
+async def _set_reclaimed(
     leader: states.Leader, emptied: list[draining.MachineToDrain]
 ) -> None:
     """Close workers whose machines are to be emptied; reopen all others."""
@@ -217,7 +216,7 @@
     standby: dict[ids.ServiceId, list[rebalancing.Member]] = {
         service: [] for service in configuration.standby
     }
-    fixed = _fixed(leader, now_s)
+    fixed = _fixed_machines(leader, now_s)
     for machine in leader.fleet.machines.values():
         if machine.state is fleet.State.DOWN:
             continue
@@ -227,20 +226,20 @@
             views[service].members.append(member)
         elif machine.state is fleet.State.UP and service in standby:
             standby[service].append(member)
-    _note_demand(leader, views, now_s)
+    _record_demand(leader, views, now_s)
     for service in sorted(
         leader.fleet.pools_without_capacity.intersection(views)
     ):
         views[service].lacks_suitable_machine = True
     leader.fleet.pools_without_capacity.clear()
     min_up = policies.min_up(leader.policy.policy)
-    _note_first_sizes(leader, views)
+    _record_first_sizes(leader, views)
     for service, view in views.items():
         view.min_up = min_up.get(service, 0)
     return list(views.values()), standby
 
 
-def _note_first_sizes(
+def _record_first_sizes(
     leader: states.Leader, views: dict[ids.ServiceId, rebalancing.PoolView]
 ) -> None:
     """Record how many machines each pool has before the first move.
@@ -265,11 +264,11 @@
             )
 
 
-def _fixed(leader: states.Leader, now_s: float) -> set[str]:
+def _fixed_machines(leader: states.Leader, now_s: float) -> set[str]:
     """Return the machines that must not move.
 
-    Their move was refused, an earlier leader ordered them a moment ago, or a
-    wave is about to take them.
+    Their move was refused or left unanswered, an earlier leader ordered them
+    a moment ago, or a wave is about to take them.
     """
     fixed = {
         name
@@ -308,7 +307,7 @@
     )
 
 
-def _note_demand(
+def _record_demand(
     leader: states.Leader,
     views: dict[ids.ServiceId, rebalancing.PoolView],
     now_s: float,
@@ -320,7 +319,7 @@
             continue
         for task in worker.runs.values():
             _add_cores(view, task.group, 1)
-            _note_priority(view, task.group, known)
+            _record_priority(view, task.group, known)
     for service, groups in relocating.starved_by_pool(leader, now_s).items():
         if service in views:
             for group in groups:
@@ -365,15 +364,15 @@
                     group, workers, now_s
                 )
         elif not group.step.uses_leftover:
-            row = _waiting_work(group, allowed, queue, leader.lengths, now_s)
+            row = _waiting_tasks(group, allowed, queue, leader.lengths, now_s)
             view.waiting.append(row)
-            _note_priority(view, group, known)
+            _record_priority(view, group, known)
 
 
 def _may_lack_machines(
     view: rebalancing.PoolView, group: ledgers.Group
 ) -> bool:
-    """Return whether a step has to be compared with its pool's machines."""
+    """Return whether a step's pool may lack machines that suit it."""
     if group.step.label:
         return group.step.label not in view.lacks_labels
     if view.lacks_suitable_machine:
@@ -407,15 +406,15 @@
         for row in elsewhere
     ):
         return False
-    # A gang that does not fit on all machines together would otherwise attract
-    # machines forever.
+    # A gang that does not fit on all machines together would otherwise have
+    # machines moved to its pool without end.
     return not group.step.gang or len(group.tasks) <= sum(
         shortage.could_hold(group.step, row.labels, row.capacity)
         for row in machines
     )
 
 
-def _note_priority(
+def _record_priority(
     view: rebalancing.PoolView,
     group: ledgers.Group,
     known: dict[str, queues.Queue],
@@ -425,7 +424,7 @@
         view.priority = min(view.priority, queue.priority)
 
 
-def _waiting_work(
+def _waiting_tasks(
     group: ledgers.Group,
     tasks: int,
     queue: queues.Queue,
@@ -461,10 +460,10 @@
     Those that would be sent too late are dropped and decided again.
     """
     left = collections.deque(moves)
-    late_s = clock.now_s() + machine_handover.SEND_WINDOW_MS / 1000
+    send_until_s = clock.now_s() + machine_handover.SEND_WINDOW_MS / 1000
 
     async def send() -> None:
-        while left and clock.now_s() < late_s:
+        while left and clock.now_s() < send_until_s:
             await _send_move(leader, left.popleft())
 
     async with curio.TaskGroup() as group:
@@ -515,8 +514,8 @@
 def note_arrival(
     leader: states.Leader, entry: ledgers.Entry, at_s: float
 ) -> None:
-    """Record the demand that a job that has arrived puts on its pool."""
-    _note_rate(leader, entry, at_s)
+    """Record the demand of a job that has arrived for its pool."""
+    _record_rate(leader, entry, at_s)
     work = entry.job.work
     core_ms = sum(
         step.tasks * step.needs.cpu_millicores * step.guess_ms
@@ -535,7 +534,7 @@
         )
 
 
-def _note_rate(
+def _record_rate(
     leader: states.Leader, entry: ledgers.Entry, at_s: float
 ) -> None:
     """Record whether a tenant submits jobs beyond its assured rate."""
--- a/oleanderwood/leading/relocating.py
+++ b/oleanderwood/leading/relocating.py
@@ -26,7 +26,7 @@
 ) -> list[ledgers.Task]:
     """Return the tasks of a worker that leave it for a better one.
 
-    Those for which there is none make their pool request another machine.
+    If there is no better worker for a task, its pool requests another machine.
     """
 
     def length_of(task: ledgers.Task) -> float:
@@ -37,10 +37,10 @@
     if not rows:
         return []
     leaving = _choose(leader, worker, rows, now_s)
-    left = {task.name for task in leaving}
+    leaving_names = {task.name for task in leaving}
     for row in rows:
         group = row.task.group
-        if row.task.name in left:
+        if row.task.name in leaving_names:
             _log(worker, row, 'relocated')
             continue
         if group not in leader.starved_until_s:
@@ -59,9 +59,9 @@
     pool = worker.entry.service
     if now_s < leader.last_relocation_s.get(pool, 0.0) + SETTLE_S:
         return []
-    # Steps that wait for advice stay: otherwise 10 runs of one task were each
-    # stopped for a worker that was not suitable, as advice was being asked
-    # for, and began again where they had been.
+    # Steps that wait for advice stay. Without this, 10 runs of one task were
+    # each stopped in favour of an unsuitable worker while advice was being
+    # requested, and began again on the worker they had left.
     known = states.known_queues(leader)
     advised = [
         row
--- a/oleanderwood/leading/restarts.py
+++ b/oleanderwood/leading/restarts.py
@@ -13,9 +13,9 @@
 def is_earlier(worker: workers_.Worker, sent_s: float) -> bool:
     """Return whether an incarnation is earlier than one that answers a call.
 
-    It is if it was known, and had last answered, before the call was sent: the
-    other one was alive after that. If answers cross, the order stays open
-    until the next call.
+    It is earlier if it was known, and had last answered, before the call was
+    sent: the other one was alive after that. If answers cross, the order stays
+    open until the next call.
     """
     return worker.first_contact_s <= sent_s and worker.clock_at_s <= sent_s
 
@@ -74,7 +74,7 @@
 
 
 def forget(leader: states.Leader, worker: workers_.Worker) -> None:
-    """Drop the state of an incarnation that is over."""
+    """Drop the state of an incarnation that has ended."""
     name = worker.entry.worker
     executor = incarnations.executor_of(name)
     leader.workers.pop(name, None)
@@ -89,7 +89,7 @@
 
 
 async def notify_ended(leader: states.Leader) -> None:
-    """Wake the loops that wait for incarnations found to be over."""
+    """Wake the loops that wait for incarnations found to have ended."""
     while leader.ended_incarnations:
         previous = leader.ended_incarnations.pop()
         await leader.orders[previous.entry.worker].put(None)
--- a/oleanderwood/leading/schedule.py
+++ b/oleanderwood/leading/schedule.py
@@ -19,7 +19,8 @@
 from oleanderwood.pools import workers as workers_
 
 MIN_PASS_GAP_S = 0.01
-"""Shortest pause between two passes, as events come in bursts."""
+"""Shortest pause between two passes: events come in bursts, and one pass
+handles them together."""
 
 PASS_SHARE = 0.25
 """Largest fraction of the leader's time that passes take. The rest is left for
@@ -64,8 +65,8 @@
     """Mark the runs of silent workers whose leases have ended as lost.
 
     Do so only while no other server can have led and renewed those leases: a
-    previous leader that was confirmed without the store started runs again
-    that its successor kept alive.
+    previous leader that other servers confirmed without the store started runs
+    again that its successor kept alive.
     """
     if not states.holds_lease(leader):
         return
@@ -117,9 +118,9 @@
     the leader's lease is in force, a later leader may have renewed the
     worker's lease.
     """
-    answers = worker.fenced and worker.silent_since_s is None
+    is_answering = worker.fenced and worker.silent_since_s is None
     return (
-        answers
+        is_answering
         or clock.now_s() <= worker.lease_end_s
         or not states.holds_lease(leader)
     )
@@ -133,8 +134,8 @@
 ) -> bool:
     """Return whether an unreachable worker may be running tasks of a job.
 
-    The operator may have moved the job's queue to another pool since, so all
-    pools count in which leaders may have started its tasks.
+    The operator may have moved the job's queue to another pool since, so
+    every pool counts in which leaders may have started its tasks.
     """
     if not entry.inherited:
         return False
@@ -284,10 +285,11 @@
 
 
 def _entries_are_stale(leader: states.Leader, now_s: float) -> bool:
-    """Return whether workers' free capacity may be out of date.
+    """Return whether free capacity may have been out of date for too long.
 
     An entry is written once per heartbeat, and a capacity that has shrunk is
-    binding one contact interval later, so the entries must be newer than that.
+    binding one contact interval later, so the entries must be newer than one
+    such interval.
     No entry was written while the store was unavailable.
     """
     settings = leader.server.settings
@@ -303,7 +305,7 @@
     leader: states.Leader,
     ready: dict[ids.ServiceId, list[ledgers.Group]],
 ) -> dict[ids.ServiceId, list[ledgers.Group]]:
-    """Return the groups of pools whose workers refuse oversized tasks."""
+    """Return the groups of pools whose workers refuse what does not fit."""
     configuration = leader.server.configuration
     guarded = configuration.guarded if configuration else frozenset()
     return {name: rows for name, rows in ready.items() if name in guarded}
--- a/oleanderwood/leading/worker_loop.py
+++ b/oleanderwood/leading/worker_loop.py
@@ -31,17 +31,17 @@
 of a lease."""
 
 IDLE_WAIT_MS = 2000
-"""As ``BUSY_WAIT_MS`` for a worker without runs; the longest wait that the
+"""Like ``BUSY_WAIT_MS``, for a worker without runs; the longest wait that the
 platform allows."""
 
 STARTING_WAIT_MS = 200
-"""As ``BUSY_WAIT_MS`` while a long-running task is starting up: maintenance
-takes the next machine of its step only once the task is known to be at
-work."""
+"""Like ``BUSY_WAIT_MS``, while a long-running task is starting up: maintenance
+takes the next machine of its step only once the task is known to be
+serving."""
 
 LOSSY_WAIT_MS = 150
-"""As ``BUSY_WAIT_MS`` while calls are being lost: a lost call cannot be told
-from a worker that has nothing to report."""
+"""Like ``BUSY_WAIT_MS``, while calls are being lost: a lost call cannot be
+told from a worker that has nothing to report."""
 
 LOSSY_TIMEOUT_S = 0.3
 """Timeout of a call while calls are being lost. A call normally takes 2 ms,
@@ -49,7 +49,7 @@
 
 LOSSY_S = 8.0
 """Time after an unanswered call for which calls are taken to be lossy. So many
-calls are made in this time that a loss of one in twenty shows again."""
+calls are made in this time that a loss of one in twenty is seen again."""
 
 TIMER_LAG_FACTOR = 4.0
 """Extension of call timeouts, as a multiple of the lag of this server's own
@@ -142,7 +142,7 @@
 
 
 def _has_task_starting(worker: workers_.Worker) -> bool:
-    """Return whether a long-running task there is not known to be at work."""
+    """Return whether a long-running task there is not known to be serving."""
     return any(
         task.group.step.is_long_running
         and task.run is not None
@@ -163,17 +163,17 @@
     :param lossy: calls are being lost
     :param late_s: the lag of this server's own timers
     """
-    calm_s = LOSSY_TIMEOUT_S if lossy else executors.ORDER_TIMEOUT_S
-    return calm_s + TIMER_LAG_FACTOR * late_s
+    base_timeout_s = LOSSY_TIMEOUT_S if lossy else executors.ORDER_TIMEOUT_S
+    return base_timeout_s + TIMER_LAG_FACTOR * late_s
 
 
 async def note_failed_order(
     leader: states.Leader, worker: workers_.Worker, error: errors.CallFailed
 ) -> None:
-    """Raise the fence after an order that may be carried out seconds later.
+    """Raise the fence after a failed order that may be carried out later.
 
-    The worker refuses that order once it has answered a later call; so does
-    the executor's next incarnation.
+    That may be seconds later. Once the worker, or the next incarnation of its
+    executor, has answered a later call, it refuses the order.
     """
     if error.verdict is verdicts.Verdict.NOT_RUN:
         return
@@ -221,13 +221,13 @@
         return False
     sent_s = clock.now_s()
     lease_end_ms = None
-    answers = worker.fenced and worker.silent_since_s is None
-    if answers and worker.runs and states.may_act(leader):
+    is_answering = worker.fenced and worker.silent_since_s is None
+    if is_answering and worker.runs and states.may_act(leader):
         lease_end_ms = new_lease_end_ms(leader, worker, sent_s)
         workers_.record_lease(worker, lease_end_ms)
     just_answered = sent_s - worker.clock_at_s <= JUST_ANSWERED_S
     acknowledged = 0
-    if answers and acknowledge and just_answered:
+    if is_answering and acknowledge and just_answered:
         acknowledged = worker.stored_end
     fence = states.fence_of(leader, worker)
     order = reports.Renewal(fence, acknowledged, lease_end_ms, longest_wait_ms)
@@ -258,7 +258,7 @@
     report: reports.Report,
     sent_s: float,
 ) -> None:
-    """Process a report of another incarnation than the one that was called.
+    """Process a report of an incarnation other than the one called.
 
     The report makes that incarnation known. Its own entry in the store may
     arrive seconds later, and until then it gets no tasks.
@@ -428,7 +428,7 @@
     """Handle an order that a worker has refused because of its fence.
 
     :return: True if the order may be sent again, as a later call of this
-        leader overtook it; otherwise another server leads, and the term ends
+        leader superseded it; otherwise another server leads, and the term ends
     """
     if states.is_superseded(leader, worker, fence):
         return True
--- a/tests/test_first_sizes.py
+++ b/tests/test_first_sizes.py
@@ -43,17 +43,17 @@
 
 
 def test_sizes_grow_while_machines_enter_the_list(leader):
-    pool_loop._note_first_sizes(leader, _views(a=2, b=1))
-    pool_loop._note_first_sizes(leader, _views(a=6, b=5))
+    pool_loop._record_first_sizes(leader, _views(a=2, b=1))
+    pool_loop._record_first_sizes(leader, _views(a=6, b=5))
     assert leader.fleet.first_sizes == {'a': 6, 'b': 5}
     assert leader.fleet.arrival_history.pool_cores == {'a': 384.0, 'b': 320.0}
 
 
 def test_machines_that_were_moved_do_not_count(leader):
-    pool_loop._note_first_sizes(leader, _views(a=6, b=6))
+    pool_loop._record_first_sizes(leader, _views(a=6, b=6))
     leader.fleet.announced = {'m1': 0.0}
     views = _views(a=12, b=0)
-    pool_loop._note_first_sizes(leader, views)
+    pool_loop._record_first_sizes(leader, views)
     assert [view.first_size for view in views.values()] == [6, 6]
 
 
@@ -63,4 +63,4 @@
     progress.begun.add('m1')
     progress.down['m1'] = rolling.MaintenanceOrder('w', 99.0)
     leader.fleet.waves[1] = progress
-    assert pool_loop._fixed(leader, 100.0) == {'m1', 'm2'}
+    assert pool_loop._fixed_machines(leader, 100.0) == {'m1', 'm2'}
--- a/tests/test_gang_beyond_fleet.py
+++ b/tests/test_gang_beyond_fleet.py
@@ -50,7 +50,7 @@
         member = rebalancing.Member('m0', 8.0, worker)
         view = rebalancing.PoolView(build.POOL, [member])
         now_s = clock.now_s()
-        pool_loop._note_demand(leader, {build.POOL: view}, now_s)
+        pool_loop._record_demand(leader, {build.POOL: view}, now_s)
         found.append(view.lacks_suitable_machine)
 
     servers.run(main, CONFIGURATION)
--- a/tests/test_late_calls.py
+++ b/tests/test_late_calls.py
@@ -235,8 +235,12 @@
         await next_leads(scene)
 
     result = build.play(scenario)
-    ours = fences.next_term(0)
-    assert terms == [ours, ours + 1, fences.next_term(ours + 1)]
+    first_term = fences.next_term(0)
+    assert terms == [
+        first_term,
+        first_term + 1,
+        fences.next_term(first_term + 1),
+    ]
     assert not result.breaches and not result.unfinished
 
 
--- a/tests/test_restart_defects.py
+++ b/tests/test_restart_defects.py
@@ -1,4 +1,4 @@
-"""Planted defects by which state of an incarnation outlives its restart.
+"""Planted defects that let state of an incarnation outlive a restart.
 
 Each planted defect keeps one part of an incarnation's state across a restart
 of its executor, so that tasks run twice or ends are lost. Days with the same
@@ -19,13 +19,13 @@
 from tests import utils_restarts
 
 
-def _ids_are_lives(patch):
+def _ids_name_one_incarnation(patch):
     patch.setattr(
         incarnations, 'incarnation_name', lambda executor, born: executor
     )
 
 
-def _ends_are_kept(patch):
+def _end_numbers_survive_restarts(patch):
     real = restarts._supersede
 
     def supersede(leader, previous, worker, report):
@@ -36,7 +36,7 @@
     patch.setattr(restarts, '_supersede', supersede)
 
 
-def _clock_is_kept(patch):
+def _clock_survives_restarts(patch):
     real = workers.record_answer
     first = {}
 
@@ -49,7 +49,7 @@
     patch.setattr(workers, 'record_answer', note)
 
 
-def _all_is_over(patch):
+def _unanswered_orders_are_dropped(patch):
     def succeed(ledger, previous, worker, report, now_s):
         workers.end_all_runs(ledger, previous, now_s)
         return []
@@ -57,7 +57,7 @@
     patch.setattr(workers, 'transfer_runs', succeed)
 
 
-def _stops_are_kept(patch):
+def _earlier_stops_are_assumed(patch):
     real = workers.transfer_runs
 
     def succeed(*args):
@@ -67,7 +67,7 @@
     patch.setattr(workers, 'transfer_runs', succeed)
 
 
-def _each_look_acknowledges(patch):
+def _each_renewal_acknowledges(patch):
     real = worker_loop.renew_once
 
     async def renew(leader, worker, longest_wait_ms, acknowledge=False):
@@ -82,7 +82,7 @@
     patch.setattr(worker_loop, 'JUST_ANSWERED_S', math.inf)
 
 
-def _former_lives_go_on(patch):
+def _earlier_incarnations_stay(patch):
     patch.setattr(restarts, 'supersede_earlier', lambda *args: [])
 
 
@@ -93,7 +93,7 @@
     patch.setattr(fences, 'raise_fence', raise_fence)
 
 
-def _mark_is_ignored(patch):
+def _lease_is_ignored(patch):
     patch.setattr(states, 'holds_lease', states.may_act)
 
 
@@ -117,35 +117,35 @@
         utils_restarts.late_acknowledgement,
     ),
     'takes an id for one life': (
-        _ids_are_lives,
+        _ids_name_one_incarnation,
         utils_restarts.ends_of_next_incarnation,
     ),
     'keeps the numbers of ends': (
-        _ends_are_kept,
+        _end_numbers_survive_restarts,
         utils_restarts.ends_of_next_incarnation,
     ),
     'keeps the clock': (
-        _clock_is_kept,
+        _clock_survives_restarts,
         utils_restarts.hidden_after_restart,
     ),
     'takes orders under way for over': (
-        _without_fences(_all_is_over),
+        _without_fences(_unanswered_orders_are_dropped),
         functools.partial(utils_restarts.late_order, 0.3),
     ),
     'takes earlier stops for known': (
-        _without_fences(_stops_are_kept),
+        _without_fences(_earlier_stops_are_assumed),
         functools.partial(utils_restarts.late_order, 3.0),
     ),
     'acknowledges to whoever answers': (
-        _each_look_acknowledges,
+        _each_renewal_acknowledges,
         utils_restarts.ends_of_unknown_incarnation,
     ),
     'waits for the leases of a life that is over': (
-        _former_lives_go_on,
+        _earlier_incarnations_stay,
         functools.partial(utils_restarts.roster_of_previous_incarnation, 0.0),
     ),
     'concludes without its mark in the store': (
-        _mark_is_ignored,
+        _lease_is_ignored,
         utils_restarts.previous_leader_beside_next_incarnation,
     ),
 }
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,10 +1,10 @@
 """An executor that restarts under the same id.
 
 Guards against tasks that run twice or after their end, and against lost ends,
-by which done work is repeated. The cause was that an id was taken for a single
-incarnation of an executor. The next incarnation has no state of the previous
-one: its ends count from one again, its clock starts anew, and it has seen no
-term.
+which cause completed work to be repeated. The cause was that an id was treated
+as a single incarnation of an executor. The next incarnation has no state of
+the previous one: its ends count from one again, its clock starts anew, and it
+has seen no term.
 
 With that defect planted (see `test_restart_defects`), nine of the scenarios
 here break TWICE, lose ends or never start a task again; of 40 emulated days
@@ -211,10 +211,10 @@
 def test_drawn_days_with_restarts(seed):
     """Days that broke TWICE, each by another defect.
 
-    An id was taken for a single incarnation; all runs of an earlier
-    incarnation were taken for ended; an unconfirmed order was dropped when its
-    executor restarted before answering it, and a third incarnation carried it
-    out.
+    An id was treated as a single incarnation; all runs of an earlier
+    incarnation were treated as ended; an unconfirmed order was dropped when
+    its executor restarted before answering it, and a third incarnation carried
+    it out.
     """
     result = restarts.lab_day(seed)
     assert not result.breaches
--- a/tests/test_shortage_cost.py
+++ b/tests/test_shortage_cost.py
@@ -46,7 +46,7 @@
         ]
         view = rebalancing.PoolView(build.POOL, members)
         now_s = clock.now_s()
-        pool_loop._note_demand(leader, {build.POOL: view}, now_s)
+        pool_loop._record_demand(leader, {build.POOL: view}, now_s)
         assert len(view.waiting) == STEPS
 
     monkeypatch.setattr(shortage, '_idle_capacity', idle)
--- a/tests/test_tickets_at_expiry.py
+++ b/tests/test_tickets_at_expiry.py
@@ -52,7 +52,9 @@
         task.group.tickets = {'w1': 'first'}
         run = ledgers.begin_run(leader.ledger, task, 'w1', clock.now_s())
         worker.runs[task.name] = task
-        asking = await curio.spawn(advising._ask, leader, None, task.group)
+        asking = await curio.spawn(
+            advising._request_advice, leader, None, task.group
+        )
         await curio.sleep(ANSWER_S / 3)
         await dispatch._send_start(leader, worker, task, run)
         await asking.join()
