--- a/oleanderwood/web/__init__.py
+++ b/oleanderwood/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over curio and h11, on both sides."""
+"""HTTP/1.1 over curio and h11, client and server."""
--- a/oleanderwood/web/connections.py
+++ b/oleanderwood/web/connections.py
@@ -1,4 +1,4 @@
-"""Kept connections, bounded for each address."""
+"""A connection pool with a limit for each address."""
 
 import collections
 import dataclasses
@@ -13,16 +13,19 @@
 from oleanderwood.web import http_client
 
 IDLE_S = 4.0
-"""How long an idle connection is kept.
+"""Longest idle time, in seconds, of a connection that is reused.
 
-Below the usual keep-alive limits of servers (5 s and more), so that one is
-seldom reused while its peer closes it.
+It is below the usual keep-alive timeouts of servers (5 s and more), so that a
+connection is seldom reused while its peer closes it.
 """
 
 
 @dataclasses.dataclass
-class Idle:
-    """A connection that waits for its next request since a moment."""
+class IdleConnection:
+    """A connection without a request.
+
+    :ivar since_s: monotonic time at which it became idle
+    """
 
     connection: http_client.Connection
     since_s: float
@@ -32,18 +35,19 @@
 class Connections:
     """The connections of one process to all addresses.
 
-    :ivar idle: for each address, the latest used last
-    :ivar opened: for each address, those open or being opened
-    :ivar waiting: for each address, who waits for one, the first first
+    :ivar idle: idle connections by address, the most recently used last
+    :ivar open_counts: number of open and opening connections by address
+    :ivar waiters: events of tasks waiting for a connection, by address,
+        in the order of their arrival
     """
 
-    idle: dict[ids.Address, collections.deque[Idle]] = dataclasses.field(
-        default_factory=dict
+    idle: dict[ids.Address, collections.deque[IdleConnection]] = (
+        dataclasses.field(default_factory=dict)
     )
-    opened: collections.Counter[ids.Address] = dataclasses.field(
+    open_counts: collections.Counter[ids.Address] = dataclasses.field(
         default_factory=collections.Counter
     )
-    waiting: dict[ids.Address, collections.deque[curio.Event]] = (
+    waiters: dict[ids.Address, collections.deque[curio.Event]] = (
         dataclasses.field(default_factory=dict)
     )
 
@@ -55,14 +59,13 @@
     timeout_s: float,
     idle_s: float = IDLE_S,
 ) -> http_client.Connection:
-    """Give an idle connection, or open one, or wait until either can be.
+    """Return an idle connection or a new one; wait while all are in use.
 
-    With a call that fails at once beyond the limit, 1,768 moves of machines
-    between the pools of a fleet of 276 were put off in one day, beside 1,862
-    that were made.
+    Failing at once at the limit postponed 1,768 moves of machines between the
+    pools of a fleet of 276 in one day, while 1,862 moves were made.
 
-    :param limit: connections that may be open to this address
-    :param timeout_s: longest wait for one, and for its opening
+    :param limit: maximum number of open connections to this address
+    :param timeout_s: longest wait for a connection, and again for opening it
     :param idle_s: longest idle time of a connection that is reused
     :raises errors.CallFailed: ``NOT_RUN``
     """
@@ -70,37 +73,37 @@
         reused = await _reuse(state, address, time.monotonic() - idle_s)
         if reused is not None:
             return reused
-        if state.opened[address] < limit:
+        if state.open_counts[address] < limit:
             break
         await _wait(state, address, timeout_s)
-    state.opened[address] += 1
+    state.open_counts[address] += 1
     try:
         return await http_client.connect(address, timeout_s)
     except BaseException:
-        await _forget(state, address)
+        await _release_slot(state, address)
         raise
 
 
 async def _wait(
     state: Connections, address: ids.Address, timeout_s: float
 ) -> None:
-    """Wait until a connection is idle or one more may be opened.
+    """Wait until a connection is idle or another one may be opened.
 
     :raises errors.CallFailed: ``NOT_RUN``
     """
-    freed = curio.Event()
-    waiting = state.waiting.setdefault(address, collections.deque())
-    waiting.append(freed)
+    available = curio.Event()
+    waiters = state.waiters.setdefault(address, collections.deque())
+    waiters.append(available)
     try:
         async with curio.timeout_after(timeout_s):
-            await freed.wait()
+            await available.wait()
     except BaseException as error:
-        if freed.is_set():
-            await _wake(state, address)
+        if available.is_set():
+            await _wake_next(state, address)
         else:
-            waiting.remove(freed)
-            if not waiting:
-                state.waiting.pop(address, None)
+            waiters.remove(available)
+            if not waiters:
+                state.waiters.pop(address, None)
         if isinstance(error, curio.TaskTimeout):
             raise errors.CallFailed(
                 verdicts.Verdict.NOT_RUN,
@@ -109,24 +112,24 @@
         raise
 
 
-async def _wake(state: Connections, address: ids.Address) -> None:
-    """Let the first of those that wait for a connection go on."""
-    waiting = state.waiting.get(address)
-    if not waiting:
+async def _wake_next(state: Connections, address: ids.Address) -> None:
+    """Wake the task that has waited longest for a connection."""
+    waiters = state.waiters.get(address)
+    if not waiters:
         return
-    await waiting.popleft().set()
-    if not waiting:
-        del state.waiting[address]
+    await waiters.popleft().set()
+    if not waiters:
+        del state.waiters[address]
 
 
 async def _reuse(
     state: Connections, address: ids.Address, since_s: float
 ) -> http_client.Connection | None:
-    waiting = state.idle.get(address)
-    while waiting:
-        idle = waiting.pop()
+    idle_connections = state.idle.get(address)
+    while idle_connections:
+        idle = idle_connections.pop()
         connection = idle.connection
-        if idle.since_s >= since_s and http_client.silent(connection):
+        if idle.since_s >= since_s and http_client.is_quiet(connection):
             connection.written = False
             return connection
         await drop(state, connection)
@@ -136,23 +139,25 @@
 async def give_back(
     state: Connections, connection: http_client.Connection
 ) -> None:
-    """Keep a connection for the next request, if it may carry one."""
-    if not http_client.usable(connection):
+    """Return a connection to the pool, or close it if it is not reusable."""
+    if not http_client.is_reusable(connection):
         await drop(state, connection)
         return
-    waiting = state.idle.setdefault(connection.address, collections.deque())
-    waiting.append(Idle(connection, time.monotonic()))
-    await _wake(state, connection.address)
+    idle_connections = state.idle.setdefault(
+        connection.address, collections.deque()
+    )
+    idle_connections.append(IdleConnection(connection, time.monotonic()))
+    await _wake_next(state, connection.address)
 
 
 async def drop(state: Connections, connection: http_client.Connection) -> None:
-    """Close a connection, and with it whatever still arrives on it."""
-    await _forget(state, connection.address)
+    """Close a connection and discard its unread input."""
+    await _release_slot(state, connection.address)
     await http.close(connection.sock)
 
 
-async def _forget(state: Connections, address: ids.Address) -> None:
-    state.opened[address] -= 1
-    if state.opened[address] <= 0:
-        del state.opened[address]
-    await _wake(state, address)
+async def _release_slot(state: Connections, address: ids.Address) -> None:
+    state.open_counts[address] -= 1
+    if state.open_counts[address] <= 0:
+        del state.open_counts[address]
+    await _wake_next(state, address)
--- a/oleanderwood/web/http.py
+++ b/oleanderwood/web/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over curio and h11: what both sides share."""
+"""HTTP/1.1 over curio and h11: parts shared by client and server."""
 
 import collections.abc
 import dataclasses
@@ -10,10 +10,10 @@
 from oleanderwood import ids
 
 READ_BYTES = 65536
-"""Largest piece read from a socket, and so the bound of what is held."""
+"""Most bytes read from a socket at once; it bounds the memory of a buffer."""
 
 MAX_HEAD_BYTES = 65536
-"""Largest request or response head that is accepted."""
+"""Size limit of a request or response head."""
 
 Headers = list[tuple[bytes, bytes]]
 Chunks = collections.abc.AsyncIterator[bytes]
@@ -21,12 +21,12 @@
 
 @dataclasses.dataclass
 class Body:
-    """A body as it arrives, to be iterated once.
+    """A streamed body, which can be iterated once.
 
-    An iterator that is no generator: one that is left half read needs no
+    It is not an asynchronous generator: a partly read generator would need
     clean-up by the garbage collector, which curio can't await.
 
-    :ivar read: gives the next piece, b'' at the end
+    :ivar read: returns the next chunk, b'' at the end
     """
 
     read: collections.abc.Callable[[], collections.abc.Awaitable[bytes]]
@@ -35,22 +35,22 @@
         return self
 
     async def __anext__(self) -> bytes:
-        piece = await self.read()
-        if not piece:
+        chunk = await self.read()
+        if not chunk:
             raise StopAsyncIteration
-        return piece
+        return chunk
 
 
 @dataclasses.dataclass
 class Response:
-    """A response's head, and its body whole or as it arrives."""
+    """A response's head, and its body in memory or streamed."""
 
     status: int
     headers: Headers = dataclasses.field(default_factory=list)
     body: bytes | Chunks = b''
 
     def header(self, name: str) -> str | None:
-        """Give the first value of a header, None if there is none."""
+        """Return the first value of a header, or None."""
         return find(self.headers, name)
 
 
@@ -58,18 +58,19 @@
 
 
 async def _cannot_respond(response: Response) -> None:
-    raise RuntimeError('this request did not come from a server')
+    raise RuntimeError('request was not received by a server')
 
 
 @dataclasses.dataclass
 class Request:
-    """A request's head, and its body as it arrives.
+    """A request's head and its streamed body.
 
-    Header names are lower case, as h11 gives them.
+    Header names are lower case, as h11 returns them.
 
-    :ivar awaits_continue: the caller sends the body once it is read from
-    :ivar respond: sends the answer before the handler returns; a handler
-        that used it returns None
+    :ivar awaits_continue: whether the caller sends the body only after a 100
+        response, which is sent when the body is first read
+    :ivar respond: sends the answer before the handler returns; a handler that
+        calls it returns None
     """
 
     method: str
@@ -82,7 +83,7 @@
     respond: Respond = _cannot_respond
 
     def header(self, name: str) -> str | None:
-        """Give the first value of a header, None if there is none."""
+        """Return the first value of a header, or None."""
         return find(self.headers, name)
 
 
@@ -92,7 +93,7 @@
 
 
 def find(headers: Headers, name: str) -> str | None:
-    """Give the first value of a header, None if there is none."""
+    """Return the first value of a header, or None."""
     wanted = name.lower().encode('ascii')
     for key, value in headers:
         if key.lower() == wanted:
@@ -101,36 +102,36 @@
 
 
 def find_all(headers: Headers, name: str) -> list[bytes]:
-    """Give all values of a header, in order."""
+    """Return all values of a header, in order."""
     wanted = name.lower().encode('ascii')
     return [value for key, value in headers if key.lower() == wanted]
 
 
 def split_address(address: ids.Address) -> tuple[str, int]:
-    """Take an address apart into IP number and port."""
+    """Split an address into its IP address and port."""
     host, _, port = address.rpartition(':')
     return host.strip('[]'), int(port)
 
 
 async def read_all(body: Chunks, limit_bytes: int) -> bytes:
-    """Read a body whole.
+    """Read a whole body.
 
-    :raises ValueError: it is longer than ``limit_bytes``
+    :raises ValueError: the body is longer than ``limit_bytes``
     """
-    pieces = []
+    chunks = []
     size_bytes = 0
-    async for piece in body:
-        size_bytes += len(piece)
+    async for chunk in body:
+        size_bytes += len(chunk)
         if size_bytes > limit_bytes:
             raise ValueError(f'body is over {limit_bytes} bytes')
-        pieces.append(piece)
-    return b''.join(pieces)
+        chunks.append(chunk)
+    return b''.join(chunks)
 
 
 async def next_event(
     sock: typing.Any, connection: h11.Connection
 ) -> typing.Any:
-    """Read from the socket until h11 has an event or wants a pause."""
+    """Read from the socket until h11 returns an event or ``PAUSED``."""
     while True:
         event = connection.next_event()
         if event is not h11.NEED_DATA:
@@ -149,7 +150,7 @@
 
 
 async def close(sock: typing.Any) -> None:
-    """Close a socket; a failure to do so is of no interest."""
+    """Close a socket, ignoring errors."""
     try:
         await sock.close()
     except (OSError, curio.CurioError):
--- a/oleanderwood/web/http_client.py
+++ b/oleanderwood/web/http_client.py
@@ -1,7 +1,7 @@
 """An HTTP/1.1 client over curio and h11.
 
-Every failure is an :class:`oleanderwood.errors.CallFailed` with a verdict:
-``NOT_RUN`` only where nothing was written to the connection.
+Every failure raises :class:`oleanderwood.errors.CallFailed` with a verdict:
+``NOT_RUN`` only if nothing was written to the connection.
 """
 
 import contextlib
@@ -18,25 +18,26 @@
 from oleanderwood import verdict as verdicts
 from oleanderwood.web import http
 
-SMALL_BODY_BYTES = 8 << 20
-"""Largest answer that :func:`call` reads."""
+MAX_BODY_BYTES = 8 << 20
+"""Size limit of a response body that :func:`call` reads."""
 
 
 @dataclasses.dataclass(eq=False)
 class Connection:
-    """A connection to one address; it carries one request at a time.
+    """A connection to one address, used for one request at a time.
 
     :ivar written: whether any byte of the current request was written
-    :ivar carries: id of the request that was sent last
-    :ivar carried: requests whose answers were read whole
+    :ivar request_id: id of the latest request
+    :ivar completed_requests: number of requests with completely read
+        responses
     """
 
     address: ids.Address
     sock: typing.Any
     protocol: h11.Connection
     written: bool = False
-    carries: str = ''
-    carried: int = 0
+    request_id: str = ''
+    completed_requests: int = 0
 
 
 async def connect(address: ids.Address, timeout_s: float) -> Connection:
@@ -64,15 +65,15 @@
     return Connection(address, sock, protocol)
 
 
-def usable(connection: Connection) -> bool:
-    """Say whether the connection may carry another request."""
+def is_reusable(connection: Connection) -> bool:
+    """Return whether the connection is ready for another request."""
     return connection.protocol.our_state is h11.IDLE
 
 
-def silent(connection: Connection) -> bool:
-    """Say whether an idle connection is open and has nothing to read.
+def is_quiet(connection: Connection) -> bool:
+    """Return whether an idle connection is open and has no input.
 
-    The peer may still be about to close it.
+    The peer may still close it at any time.
     """
     poll = select.poll()
     poll.register(connection.sock.fileno(), select.POLLIN)
@@ -80,7 +81,7 @@
 
 
 async def shut(connection: Connection) -> None:
-    """End both directions; whoever waits on the connection sees its end."""
+    """Shut down both directions; this wakes tasks that wait on them."""
     with contextlib.suppress(OSError):
         await connection.sock.shutdown(socket.SHUT_RDWR)
 
@@ -88,23 +89,23 @@
 def failure(
     connection: Connection, error: BaseException | str
 ) -> errors.CallFailed:
-    """Make the error of a call that failed on this connection."""
+    """Return the error for a call that failed on this connection."""
     return errors.CallFailed(
         verdict(connection), f'{connection.address}: {error}'
     )
 
 
 def verdict(connection: Connection) -> verdicts.Verdict:
-    """Say what is known of a call that failed on this connection."""
+    """Return whether a call that failed on this connection may have run."""
     if connection.written:
         return verdicts.Verdict.MAY_HAVE_RUN
     return verdicts.Verdict.NOT_RUN
 
 
 def encode(connection: Connection, *events: h11.Event) -> bytes:
-    """Give the bytes that send some h11 events.
+    """Return the encoded bytes of h11 events.
 
-    :raises errors.CallFailed: the protocol doesn't allow them
+    :raises errors.CallFailed: the protocol state doesn't allow the events
     """
     try:
         return b''.join(map(connection.protocol.send, events))
@@ -113,7 +114,7 @@
 
 
 async def write(connection: Connection, data: bytes | memoryview) -> None:
-    """Write bytes; the first are handed over before any wait.
+    """Write all of the data; the first write is attempted without waiting.
 
     :raises errors.CallFailed: with the verdict
     """
@@ -125,7 +126,9 @@
 
 
 async def write_some(connection: Connection, data: bytes | memoryview) -> int:
-    """Write what the kernel takes; waits only if that is nothing.
+    """Write as much as the kernel accepts; wait only if it accepts nothing.
+
+    Return the number of bytes written.
 
     :raises errors.CallFailed: with the verdict
     """
@@ -133,13 +136,13 @@
         sent = await connection.sock.send(data)
     except OSError as error:
         raise failure(connection, repr(error)) from error
-    # Only now: a send that fails before is the proof that nothing ran.
+    # Set only after a successful send: if the first one fails, nothing ran.
     connection.written = True
     return sent
 
 
 async def send_events(connection: Connection, *events: h11.Event) -> None:
-    """Send h11 events in one piece.
+    """Send h11 events in one write.
 
     :raises errors.CallFailed: with the verdict
     """
@@ -147,29 +150,35 @@
 
 
 async def read_head(connection: Connection) -> http.Response:
-    """Read the answer's head; its body is read as it arrives.
+    """Read the response's head; its body is streamed.
 
-    May be called again after a timeout.
+    This may be called again after a timeout.
 
     :raises errors.CallFailed: with the verdict
     """
     try:
-        event = await _head(connection)
+        event = await _read_response_head(connection)
     except (OSError, h11.ProtocolError) as error:
-        raise failure(connection, _reason(connection, error)) from error
+        raise failure(
+            connection, _describe_error(connection, error)
+        ) from error
     headers = list(event.headers)
-    return http.Response(event.status_code, headers, _body(connection))
+    return http.Response(event.status_code, headers, _make_body(connection))
 
 
-def _reason(connection: Connection, error: Exception) -> str:
-    """Say why an answer can't be read; its end alone is no fault of it."""
+def _describe_error(connection: Connection, error: Exception) -> str:
+    """Describe why a response can't be read.
+
+    A protocol error after the end of the input only means that the peer
+    closed the connection.
+    """
     _unread, ended = connection.protocol.trailing_data
     if ended and isinstance(error, h11.ProtocolError):
         return 'closed before the answer'
     return repr(error)
 
 
-async def _head(connection: Connection) -> h11.Response:
+async def _read_response_head(connection: Connection) -> h11.Response:
     while True:
         event = await http.next_event(connection.sock, connection.protocol)
         if isinstance(event, h11.Response):
@@ -178,17 +187,17 @@
             raise ConnectionResetError('closed before the answer')
 
 
-def _body(connection: Connection) -> http.Body:
+def _make_body(connection: Connection) -> http.Body:
     async def read() -> bytes:
         try:
-            return await _piece(connection)
+            return await _read_chunk(connection)
         except (OSError, h11.ProtocolError) as error:
             raise failure(connection, repr(error)) from error
 
     return http.Body(read)
 
 
-async def _piece(connection: Connection) -> bytes:
+async def _read_chunk(connection: Connection) -> bytes:
     protocol = connection.protocol
     while protocol.their_state is h11.SEND_BODY:
         event = await http.next_event(connection.sock, protocol)
@@ -196,18 +205,18 @@
             if event.data:
                 return bytes(event.data)
         elif isinstance(event, h11.ConnectionClosed):
-            raise ConnectionResetError('answer was cut')
+            raise ConnectionResetError('connection closed during the answer')
     end_cycle(connection)
     return b''
 
 
 def end_cycle(connection: Connection) -> None:
-    """Ready the connection for its next request, if it may carry one."""
+    """Prepare the connection for its next request, if it is reusable."""
     protocol = connection.protocol
     states = (protocol.our_state, protocol.their_state)
     if states == (h11.DONE, h11.DONE) and not protocol.trailing_data[0]:
         protocol.start_next_cycle()
-        connection.carried += 1
+        connection.completed_requests += 1
 
 
 async def exchange(
@@ -217,33 +226,33 @@
     headers: http.Headers,
     body: bytes | http.Chunks = b'',
 ) -> http.Response:
-    """Send one request; the response's body is read as it arrives.
+    """Send one request; the response's body is streamed.
 
-    The headers must carry ``host``, and ``content-length`` or
-    ``transfer-encoding`` for a body that isn't ``bytes``. The caller bounds
-    the time and closes the connection after any failure.
+    The headers must contain ``host``, and ``content-length`` or
+    ``transfer-encoding`` for a body that isn't ``bytes``. The calling code
+    sets the timeout and closes the connection after any failure.
 
     :raises errors.CallFailed: with the verdict
     """
     connection.written = False
     if isinstance(body, bytes):
-        events = whole_request(method, target, headers, body)
+        events = buffered_request(method, target, headers, body)
         await send_events(connection, *events)
     else:
         request = h11.Request(method=method, target=target, headers=headers)
         await send_events(connection, request)
-        async for piece in body:
-            await send_events(connection, h11.Data(data=piece))
+        async for chunk in body:
+            await send_events(connection, h11.Data(data=chunk))
         await send_events(connection, h11.EndOfMessage())
     return await read_head(connection)
 
 
-def whole_request(
+def buffered_request(
     method: str, target: str, headers: http.Headers, body: bytes
 ) -> list[typing.Any]:
-    """Make the events of a request whose body is at hand.
+    """Return the h11 events of a request with its whole body.
 
-    ``content-length`` is added, unless there is no body to a method that
+    ``content-length`` is added unless the body is empty and the method
     usually has none.
     """
     if not body and method in ('GET', 'HEAD', 'DELETE', 'OPTIONS'):
@@ -264,7 +273,7 @@
     timeout_s: float = 5.0,
     headers: http.Headers | None = None,
 ) -> http.Response:
-    """Make one small call on a connection of its own; the body is whole.
+    """Send one request on a new connection and read the whole response.
 
     :raises errors.CallFailed: with the verdict
     """
@@ -273,7 +282,7 @@
     try:
         async with curio.timeout_after(timeout_s):
             response = await exchange(connection, method, target, sent, body)
-            whole = await http.read_all(response.body, SMALL_BODY_BYTES)
+            whole = await http.read_all(response.body, MAX_BODY_BYTES)
     except curio.TaskTimeout as error:
         raise failure(connection, f'no answer in {timeout_s} s') from error
     finally:
--- a/oleanderwood/web/http_head.py
+++ b/oleanderwood/web/http_head.py
@@ -1,4 +1,4 @@
-"""Which heads of requests are refused, and how faults are told."""
+"""Validation of request heads, and the errors reported to callers."""
 
 import re
 
@@ -8,25 +8,26 @@
 from oleanderwood.web import http
 
 MAX_TARGET_BYTES = 8192
-"""Longest target that is accepted; RFC 9112 asks for 8,000 at least."""
+"""Size limit of a target; RFC 9112 recommends at least 8,000."""
 
 MAX_REASON_CHARS = 200
-"""Longest reason that a caller is told; faults repeat what was sent."""
+"""Length limit of a reason sent to a caller; reasons may quote its input."""
 
 VERSIONS = (b'1.0', b'1.1')
 
-_LOOSE = re.compile(rb'(?<!\r)\n|\r(?!\n)|\n[ \t]')
-"""A line end that isn't CR and LF, or a line that goes on in the next.
+_NONSTANDARD_LINE_END = re.compile(rb'(?<!\r)\n|\r(?!\n)|\n[ \t]')
+"""A line end other than CR LF, or a folded header line.
 
-Others end such a line elsewhere, and see another request in the same bytes.
+Other implementations may end such a line elsewhere and so parse another
+request from the same bytes (request smuggling).
 """
 
 
 def check(raw: bytes, event: h11.Request) -> None:
-    """Refuse a head that h11 takes, but that others may read otherwise.
+    """Reject a head that h11 accepts but others may parse differently.
 
-    :param raw: the head as it arrived
-    :raises errors.BadMessage: what is wrong
+    :param raw: the head as received
+    :raises errors.BadMessage: the head is invalid or too large
     """
     if event.http_version not in VERSIONS:
         raise errors.BadMessage(400, 'only HTTP/1.0 and 1.1 are spoken')
@@ -34,7 +35,7 @@
         raise errors.BadMessage(414, 'the target is too long')
     if len(raw) > http.MAX_HEAD_BYTES:
         raise errors.BadMessage(431, 'the head is too large')
-    if _LOOSE.search(raw):
+    if _NONSTANDARD_LINE_END.search(raw):
         raise errors.BadMessage(400, 'a line does not end with CR and LF')
     names = {name for name, _value in event.headers}
     if b'transfer-encoding' not in names:
@@ -45,15 +46,17 @@
         raise errors.BadMessage(400, 'a transfer coding in HTTP/1.0')
 
 
-def fault(error: h11.RemoteProtocolError, raw: bytes) -> errors.BadMessage:
-    """Tell a fault that h11 found.
+def to_bad_message(
+    error: h11.RemoteProtocolError, raw: bytes
+) -> errors.BadMessage:
+    """Convert an error of h11 to the error that is sent to the caller.
 
-    :param raw: what had arrived, and was not taken before
+    :param raw: received bytes that were not parsed before
     """
     status = error.error_status_hint
     if status == 431 and b'\n' not in raw:
         return errors.BadMessage(414, 'the target is too long')
     if status >= 500:
-        # A 5xx would invite the caller to send the same again.
+        # A status of 5xx would make callers retry the invalid request.
         status = 400
     return errors.BadMessage(status, str(error)[:MAX_REASON_CHARS])
--- a/oleanderwood/web/http_server.py
+++ b/oleanderwood/web/http_server.py
@@ -21,14 +21,14 @@
 LOG = logging.getLogger('http-server')
 
 KEEP_ALIVE_S = 75.0
-"""How long a connection may wait for its next request."""
+"""Longest time in seconds that a connection may wait for its next request."""
 
 HEAD_S = 10.0
-"""How long a request's head may take from its first byte."""
+"""Longest time in seconds from the first byte of a head to its end."""
 
-CUT_ANSWER_S = 0.2
-"""Longest time for the answer to a request that a stopping server gives up;
-the peer may read nothing."""
+CANCELLED_ANSWER_TIMEOUT_S = 0.2
+"""Longest time in seconds to answer a request that is cancelled as the server
+stops; the peer may not be reading."""
 
 BACKLOG = 1024
 _POLL_S = 0.05
@@ -39,12 +39,12 @@
 class Server:
     """A listening server.
 
-    :ivar address: the address it listens on, its port resolved
-    :ivar refusal_headers: sent with refusals of malformed requests
-    :ivar closing: answers announce that their connection ends
-    :ivar stopping: nothing new is accepted
-    :ivar cut_answer: what a request gets that is still being handled when
-        the server is cancelled; None: its connection is cut
+    :ivar address: the address it listens on, with the port that was bound
+    :ivar refusal_headers: headers of the answers to malformed requests
+    :ivar closing: whether answers announce that their connection will close
+    :ivar stopping: whether new connections are no longer accepted
+    :ivar cut_answer: answer to requests that are still being handled when the
+        server is cancelled; None closes their connections unanswered
     """
 
     address: ids.Address
@@ -66,7 +66,7 @@
     handler: http.Handler,
     max_connections: int = MAX_CONNECTIONS,
 ) -> Server:
-    """Bind and listen; :func:`run` accepts.
+    """Bind and listen; :func:`run` accepts connections.
 
     :raises OSError: the address can't be bound
     """
@@ -81,7 +81,7 @@
 
 
 async def run(server: Server) -> None:
-    """Accept connections until :func:`stop`; cut them when cancelled."""
+    """Accept connections until :func:`stop`; cancel them when cancelled."""
     watching = await curio.spawn(http_watch.run, server)
     server.accepting = await curio.spawn(_accept, server)
     try:
@@ -91,23 +91,23 @@
     finally:
         await server.accepting.cancel()
         await watching.cancel()
-        cut = [connection.task for connection in server.connections]
-        for task in cut:
+        tasks = [connection.task for connection in server.connections]
+        for task in tasks:
             await task.cancel(blocking=False)
-        for task in cut:
+        for task in tasks:
             await task.cancel()
 
 
 def retire(server: Server) -> None:
-    """Go on serving, but announce with each answer that it is the last."""
+    """Keep serving, but announce in each answer that its connection closes."""
     server.closing = True
 
 
 async def stop(server: Server) -> None:
-    """Stop in an orderly way: accept no more, finish what is in flight.
+    """Stop gracefully: accept no connections, finish requests in progress.
 
     Idle connections are closed; busy ones get ``Connection: close`` with
-    their answer. Returns when none is left.
+    their answer. This returns when no connection is left.
     """
     server.closing = True
     server.stopping = True
@@ -124,13 +124,13 @@
 async def _accept(server: Server) -> None:
     while True:
         while len(server.connections) >= server.max_connections:
-            await http_watch.make_room(server)
+            await http_watch.evict_idle(server)
             await curio.sleep(_POLL_S)
         try:
             sock, peer = await server.sock.accept()
         except OSError as error:
-            # Also for a socket that was shut: it may listen again.
-            LOG.debug('Accepting failed: %s.', error)
+            # Retry even if the socket was shut down: it may listen again.
+            LOG.debug('Accept failed: %s.', error)
             await curio.sleep(http_watch.TICK_S)
             continue
         await _spawn(server, sock, f'{peer[0]}:{peer[1]}')
@@ -150,74 +150,77 @@
 
 async def _serve(server: Server, connection: http_accepted.Connection) -> None:
     try:
-        await _requests(server, connection)
+        await _serve_requests(server, connection)
     except (OSError, h11.ProtocolError, errors.CallFailed) as error:
-        LOG.debug('Connection of %s ended: %s', connection.peer, error)
+        LOG.debug('Connection from %s closed: %s', connection.peer, error)
     except curio.CancelledError:
-        LOG.debug('Connection of %s was cut.', connection.peer)
+        LOG.debug('Connection from %s was cancelled.', connection.peer)
     except Exception:
-        LOG.exception('Connection of %s was cut by a fault.', connection.peer)
+        LOG.exception(
+            'Connection from %s closed by an unexpected error.',
+            connection.peer,
+        )
     finally:
         server.connections.discard(connection)
         await http.close(connection.sock)
 
 
-async def _requests(
+async def _serve_requests(
     server: Server, connection: http_accepted.Connection
 ) -> None:
     while True:
         try:
-            request = await _head(server, connection)
+            request = await _read_head(server, connection)
         except errors.BadMessage as error:
             await _refuse(server, connection, error)
             return
         if request is None:
             return
-        await _answer(server, connection, request)
-        if not _reusable(server, connection):
+        await _handle(server, connection, request)
+        if not _prepare_reuse(server, connection):
             await http_accepted.linger(connection)
             return
         connection.busy = False
 
 
-async def _head(
+async def _read_head(
     server: Server, connection: http_accepted.Connection
 ) -> http.Request | None:
-    """Read a request's head; None when the connection ended.
+    """Read a request's head; return None if the connection ended.
 
-    :raises errors.BadMessage: it is malformed, or too large
+    :raises errors.BadMessage: the head is malformed or too large
     """
     protocol = connection.protocol
     now_s = time.monotonic()
-    connection.waits_since_s = now_s
+    connection.waiting_since_s = now_s
     started = bool(protocol.trailing_data[0])
-    connection.read_limit_s = now_s + (HEAD_S if started else KEEP_ALIVE_S)
+    connection.read_deadline_s = now_s + (HEAD_S if started else KEEP_ALIVE_S)
     while True:
         raw = protocol.trailing_data[0]
         try:
             event = protocol.next_event()
         except h11.RemoteProtocolError as error:
-            raise http_head.fault(error, raw) from error
+            raise http_head.to_bad_message(error, raw) from error
         if event is not h11.NEED_DATA:
             break
         data = await connection.sock.recv(http.READ_BYTES)
         if not started:
             started = True
-            connection.read_limit_s = time.monotonic() + HEAD_S
+            connection.read_deadline_s = time.monotonic() + HEAD_S
         protocol.receive_data(data)
     if not isinstance(event, h11.Request):
         return None
     http_head.check(raw[: len(raw) - len(protocol.trailing_data[0])], event)
     connection.busy = True
-    connection.waits_since_s = math.inf
-    connection.read_limit_s = math.inf
-    connection.waited_s = 0.0
+    connection.waiting_since_s = math.inf
+    connection.read_deadline_s = math.inf
+    connection.body_wait_s = 0.0
     connection.body_bytes = 0
-    # h11's own sequence is slow to go through again and again.
+    # h11's header sequence is slow to iterate repeatedly.
     headers = list(event.headers)
     if not _announces_body(headers):
         protocol.next_event()
-    return _request(server, connection, event, headers)
+    return _make_request(server, connection, event, headers)
 
 
 def _announces_body(headers: http.Headers) -> bool:
@@ -228,14 +231,14 @@
     )
 
 
-def _request(
+def _make_request(
     server: Server,
     connection: http_accepted.Connection,
     event: h11.Request,
     headers: http.Headers,
 ) -> http.Request:
     async def read() -> bytes:
-        return await http_accepted.read_piece(connection)
+        return await http_accepted.read_chunk(connection)
 
     async def respond(response: http.Response) -> None:
         await _respond(server, connection, event.method, response)
@@ -254,7 +257,7 @@
     )
 
 
-async def _answer(
+async def _handle(
     server: Server, connection: http_accepted.Connection, request: http.Request
 ) -> None:
     try:
@@ -267,27 +270,27 @@
         body = error.reason.encode() + b'\n'
         await request.respond(http.Response(error.status, [], body))
     except curio.CancelledError:
-        await _answer_cut(server, connection, request)
+        await _answer_cancelled(server, connection, request)
         raise
     except (OSError, h11.ProtocolError, errors.CallFailed):
         raise
     except Exception:
         if connection.protocol.our_state is not h11.SEND_RESPONSE:
             raise
-        LOG.exception('The handler failed; the answer is 500.')
+        LOG.exception('Request handler failed; answering with status 500.')
         await request.respond(http.Response(500, [], b'internal fault\n'))
 
 
-async def _answer_cut(
+async def _answer_cancelled(
     server: Server, connection: http_accepted.Connection, request: http.Request
 ) -> None:
-    """Answer a request that is cut, if nothing of an answer was sent."""
+    """Answer a cancelled request if no part of an answer was sent."""
     if server.cut_answer is None:
         return
     if connection.protocol.our_state is not h11.SEND_RESPONSE:
         return
     with contextlib.suppress(OSError, h11.ProtocolError):
-        async with curio.ignore_after(CUT_ANSWER_S):
+        async with curio.ignore_after(CANCELLED_ANSWER_TIMEOUT_S):
             await request.respond(server.cut_answer)
 
 
@@ -297,11 +300,11 @@
     method: bytes,
     response: http.Response,
 ) -> None:
-    closing = server.closing or _unread(connection.protocol)
+    closing = server.closing or _has_unread_input(connection.protocol)
     await http_accepted.write(connection, response, closing, method == b'HEAD')
 
 
-def _unread(protocol: h11.Connection) -> bool:
+def _has_unread_input(protocol: h11.Connection) -> bool:
     return protocol.their_state not in (
         h11.DONE,
         h11.MUST_CLOSE,
@@ -309,7 +312,9 @@
     )
 
 
-def _reusable(server: Server, connection: http_accepted.Connection) -> bool:
+def _prepare_reuse(
+    server: Server, connection: http_accepted.Connection
+) -> bool:
     protocol = connection.protocol
     if server.closing or protocol.our_state is not h11.DONE:
         return False
--- a/oleanderwood/web/ticks.py
+++ b/oleanderwood/web/ticks.py
@@ -1,4 +1,4 @@
-"""Pauses that end together, so that a process wakes up less."""
+"""Sleeps that end at common times, so that a process wakes up less often."""
 
 import math
 import time
@@ -6,23 +6,25 @@
 import curio
 
 GRID_S = 0.2
-"""Distance of the moments at which pauses end."""
+"""Interval in seconds between the times at which sleeps end."""
 
 _PHASE_S = time.monotonic() % GRID_S
-"""Keeps the processes of one VM from waking up all at once."""
+"""Offset of this process, so that the processes of one VM don't all wake up at
+the same time."""
 
 
 async def pause(wanted_s: float) -> None:
-    """Sleep for at most the time wanted, and less by less than the grid.
+    """Sleep until the last grid time within ``wanted_s``.
 
-    A pause that is shorter than the grid is slept as it is.
+    The sleep is at most ``GRID_S`` shorter than wanted. A sleep shorter than
+    the grid is not changed.
     """
     now_s = time.monotonic() - _PHASE_S
-    await curio.sleep(shortened_s(wanted_s, now_s))
+    await curio.sleep(aligned_sleep_s(wanted_s, now_s))
 
 
-def shortened_s(wanted_s: float, now_s: float) -> float:
-    """Give the time to the last moment of the grid within a pause."""
+def aligned_sleep_s(wanted_s: float, now_s: float) -> float:
+    """Return the time until the last grid time within a sleep."""
     if wanted_s < GRID_S:
         return wanted_s
     last_s = math.floor((now_s + wanted_s) / GRID_S) * GRID_S
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -23,7 +23,7 @@
         for waiting in state.idle.values():
             while waiting:
                 await connections.drop(state, waiting.popleft().connection)
-        assert not state.opened
+        assert not state.open_counts
         await serving.cancel()
         return result
 
@@ -108,7 +108,7 @@
         async def call():
             nonlocal most
             taken = await connections.take(state, server.address, 4, 1.0)
-            most = max(most, state.opened[server.address])
+            most = max(most, state.open_counts[server.address])
             await ask(taken)
             await connections.give_back(state, taken)
 
@@ -133,6 +133,6 @@
         await gave_up.cancel()
         await connections.drop(state, taken)
         await connections.drop(state, await next_one.join())
-        return bool(state.waiting)
+        return bool(state.waiters)
 
     assert not with_server(use)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -43,7 +43,7 @@
                 connection, 'POST', '/', [(b'host', b'a')], b'%d' % number
             )
             seen.append(await http.read_all(response.body, 100))
-            assert http_client.usable(connection)
+            assert http_client.is_reusable(connection)
         await http.close(connection.sock)
         return seen
 
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -107,7 +107,7 @@
 
 def waits(connection):
     """Say whether a connection reads from its peer by now."""
-    return connection.read_limit_s < math.inf
+    return connection.read_deadline_s < math.inf
 
 
 def test_request_that_arrived_before_the_stop_is_answered():
