--- a/oleanderwood/boot.py
+++ b/oleanderwood/boot.py
@@ -1,4 +1,4 @@
-"""The settings file of a server process, checked as a whole."""
+"""Settings file of a server process, validated as a whole."""
 
 import pathlib
 import typing
@@ -9,29 +9,30 @@
 from oleanderwood import ids
 
 PATH_VARIABLE = 'OLEANDERWOOD_BOOT'
-"""Environment variable with the path of the settings file."""
+"""Environment variable that contains the path of the settings file."""
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """What a server process is told of its place.
+    """Settings of a server process.
 
-    :ivar name: unlike the names of all other servers
-    :ivar callers_listen: where callers connect
-    :ivar ready_listen: where the balancer asks whether it is ready
-    :ivar inner_port: where the other servers, metrics and dumps connect
-    :ivar admin_token: what an apply must bring; '' refuses all applies
+    :ivar name: name of the server, unique among all servers
+    :ivar callers_listen: address for callers
+    :ivar ready_listen: address for the readiness checks of the load balancer
+    :ivar inner_port: port for other servers, metrics and dumps
+    :ivar admin_token: token that an apply must contain; '' refuses all
     :ivar cpu_share: part of a core that the process gets
-    :ivar cpu_speed: how many times as fast as one such core that is
-    :ivar descriptors: files and sockets that the process may hold open
-    :ivar stop_time_s: from the signal to stop until the process is killed
-    :ivar max_task_lease_ms: longest lease that a worker gives its tasks
-    :ivar contact_ms: how long a change in the store may stay unheard, by the
-        platform's rules
-    :ivar key_revocation_ms: after this time no server may serve a key that
-        was taken away
-    :ivar machine_turn_ms: time between the orders of two leaders for one
-        machine
-    :ivar job_retention_s: how long callers may ask for an ended job
+    :ivar cpu_speed: speed factor of that core; ``cpu_share`` times this factor
+        is the processor time in cores
+    :ivar descriptors: maximum number of open files and sockets
+    :ivar stop_time_s: time from the stop signal until the process is killed
+    :ivar max_task_lease_ms: longest lease that a worker grants its tasks
+    :ivar contact_ms: longest delay of the notification of a change in the
+        store, by the platform's rules
+    :ivar key_revocation_ms: time after which no server may accept a revoked
+        key
+    :ivar machine_turn_ms: minimum time between the orders of two leaders for
+        one machine
+    :ivar job_retention_s: how long an ended job can be queried by callers
     """
 
     name: str
@@ -67,73 +68,73 @@
 
 
 class BadSettings(errors.OleanderError):
-    """The settings file can't be used; the text names every fault."""
+    """The settings file is invalid; the message lists every error."""
 
 
 def read(path: str) -> Settings:
-    """Read and check a settings file; unknown fields are ignored.
+    """Read and validate a settings file, ignoring unknown fields.
 
-    :raises BadSettings: with every fault of the file
+    :raises BadSettings: with every error of the file
     """
     try:
         raw = msgspec.json.decode(pathlib.Path(path).read_bytes())
     except (OSError, msgspec.MsgspecError) as error:
         raise BadSettings(f'{path}: {error}') from error
     if not isinstance(raw, dict):
-        raise BadSettings(f'{path}: not a table of settings')
+        raise BadSettings(f'{path}: settings must be a JSON object')
     return check(raw)
 
 
 def check(raw: dict[str, typing.Any]) -> Settings:
-    """Check raw settings one by one.
+    """Validate raw settings one by one.
 
-    :raises BadSettings: with every fault
+    :raises BadSettings: with every error
     """
-    faults = []
+    messages = []
     values = {}
     for field in msgspec.structs.fields(Settings):
         value = raw.get(field.name)
         if value is None:
             if field.default is msgspec.NODEFAULT:
-                faults.append(f'{field.name}: is missing')
+                messages.append(f'{field.name}: is missing')
             continue
         try:
             values[field.name] = msgspec.convert(value, type=field.type)
         except msgspec.ValidationError as error:
-            faults.append(f'{field.name}: {error}')
+            messages.append(f'{field.name}: {error}')
             continue
-        fault = _fault(field.name, values[field.name])
-        if fault:
-            faults.append(f'{field.name}: {fault}')
-    if faults:
-        raise BadSettings('; '.join(faults))
+        message = _describe_error(field.name, values[field.name])
+        if message:
+            messages.append(f'{field.name}: {message}')
+    if messages:
+        raise BadSettings('; '.join(messages))
     return Settings(**values)
 
 
-def _fault(name: str, value: typing.Any) -> str:
+def _describe_error(name: str, value: typing.Any) -> str:
     if name.endswith(('_address', '_listen')):
         _host, _, port = value.rpartition(':')
         if not port.isdigit():
-            return f'{value!r} is not an IP number and a port'
+            return f'{value!r} is not an IP address and a port'
     if isinstance(value, int | float) and value < 0:
         return f'{value} is below 0'
     return ''
 
 
 def cores(settings: Settings) -> float:
-    """Give the processor time that the process gets, in cores."""
+    """Return the processor time available to the process, in cores."""
     return settings.cpu_share * settings.cpu_speed
 
 
 def caller_connections(settings: Settings) -> int:
-    """Give how many connections callers may hold open.
+    """Return the maximum number of open connections from callers.
 
-    Half of the descriptors: the others are for files, the store, workers and
-    the other servers, without which nobody is served.
+    Half of the descriptors are left for files, the store, workers and other
+    servers, without which no caller can be served.
     """
     return max(1, settings.descriptors // 2)
 
 
 def inner_address(settings: Settings) -> ids.Address:
-    """Give the address on which the other servers reach this one."""
+    """Return the address at which other servers reach this one."""
     return ids.Address(f'{settings.ip}:{settings.inner_port}')
--- a/oleanderwood/clock.py
+++ b/oleanderwood/clock.py
@@ -1,16 +1,19 @@
-"""The process's steady clock, which counts the time it is suspended."""
+"""Clocks: a monotonic one that includes suspended time, and the wall clock."""
 
 import time
 
 
 def now_s() -> float:
-    """Give seconds of a clock that never jumps and never pauses.
+    """Return the seconds of a clock that never jumps and never pauses.
 
-    Leases are timed by it: a suspended machine must find them ended.
+    It times leases, which must have expired when a suspended machine resumes.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def wall_ms() -> float:
-    """Give milliseconds since 1970; only schedules use them, as they jump."""
+    """Return milliseconds since 1970.
+
+    Only schedules use this clock, since it may jump.
+    """
     return time.time() * 1000
--- a/oleanderwood/codec.py
+++ b/oleanderwood/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of messages between people, servers and the command line."""
+"""JSON encoding of messages between users, servers and the command line."""
 
 import typing
 
@@ -13,8 +13,8 @@
 
 
 def from_json(data: bytes, kind: type[T]) -> T:
-    """Decode and check JSON.
+    """Decode and validate JSON.
 
-    :raises msgspec.ValidationError: the data doesn't fit ``kind``
+    :raises msgspec.ValidationError: the data doesn't match ``kind``
     """
     return msgspec.json.decode(data, type=kind, strict=True)
--- a/oleanderwood/daemon.py
+++ b/oleanderwood/daemon.py
@@ -1,4 +1,4 @@
-"""What a daemon tells of itself, and the signals that it gets."""
+"""Health, metrics and dump endpoints of a daemon, and its signal handling."""
 
 import collections.abc
 import dataclasses
@@ -21,11 +21,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Probes:
-    """What a daemon tells of itself.
+    """Sources of the data that a daemon's probe endpoints return.
 
-    :ivar dump: gives its state as plain data for JSON
-    :ivar ready: gives '' if ready, else the reason why not
-    :ivar registry: its metrics
+    :ivar dump: returns the daemon's state as plain data for JSON
+    :ivar ready: returns '' if ready, else the reason why not
+    :ivar registry: the daemon's metrics
     """
 
     dump: Dump
@@ -34,7 +34,7 @@
 
 
 def probe_handler(probes: Probes) -> http.Handler:
-    """Make the handler of the probe addresses."""
+    """Return a request handler for the probe endpoints."""
 
     async def handle(request: http.Request) -> http.Response:
         path = request.target.partition('?')[0]
@@ -52,7 +52,7 @@
 
 
 def json_response(status: int, value: typing.Any) -> http.Response:
-    """Make a response of a struct or of plain data."""
+    """Return a JSON response for a struct or plain data."""
     headers = [(b'content-type', b'application/json')]
     return http.Response(status, headers, codec.to_json(value) + b'\n')
 
@@ -71,30 +71,32 @@
 
 async def until_stopped() -> None:
     """Wait for SIGTERM or SIGINT."""
-    arrivals = await signal_socket(signal.SIGTERM, signal.SIGINT)
-    number = (await arrivals.recv(1))[0]
+    signals = await signal_socket(signal.SIGTERM, signal.SIGINT)
+    number = (await signals.recv(1))[0]
     LOG.info('Stopping on signal %s.', signal.Signals(number).name)
 
 
 async def signal_socket(*numbers: int) -> curio.io.Socket:
-    """Take signals from now on; each arrives as one byte, its number.
+    """Handle signals; return a socket that receives each as one byte.
 
-    curio has no signals of its own; a socket wakes its kernel. For the
-    main thread alone.
+    The byte is the number of the signal.
+
+    curio doesn't handle signals itself; a socket wakes its kernel. This must
+    be called in the main thread.
     """
     receiver, sender = socket.socketpair()
     sender.setblocking(False)
 
-    def pass_on(number: int, frame: typing.Any) -> None:
+    def forward(number: int, frame: typing.Any) -> None:
         try:
             sender.send(bytes((number,)))
         except OSError as error:
-            # Raised here, it would cut whatever the process does now.
+            # Raising here would interrupt whatever code is running.
             LOG.warning('Signal %s was dropped: %s.', number, error)
 
     await curio.spawn(_wake_on_signals, daemon=True)
     for number in numbers:
-        signal.signal(number, pass_on)
+        signal.signal(number, forward)
     return curio.io.Socket(receiver)
 
 
@@ -104,14 +106,14 @@
 
 
 async def _wake_on_signals() -> None:
-    """Wake curio's kernel at any signal, until cancelled.
+    """Wake curio's kernel on any signal, until cancelled.
 
-    A handler in Python runs between two steps of the interpreter. Without
-    this, a signal that comes just before the kernel waits for events would
+    Python runs signal handlers between two bytecode instructions. Without
+    this, a signal that arrives just before the kernel waits for events would
     be handled only after the next event.
     """
     signal.set_wakeup_fd(_WAKE_WRITER.fileno(), warn_on_full_buffer=False)
-    # A descriptor of its own: curio lets one task wait for each.
+    # Use a separate descriptor: in curio only one task may wait for each.
     async with curio.io.Socket(_WAKE_READER.dup()) as reader:
         while await reader.recv(64):
             pass
--- a/oleanderwood/errors.py
+++ b/oleanderwood/errors.py
@@ -8,9 +8,9 @@
 
 
 class CallFailed(OleanderError):
-    """A call that left the process did not bring a whole answer.
+    """A call to another process did not return a complete answer.
 
-    :ivar verdict: what is known of the call
+    :ivar verdict: whether the call may have run
     :ivar reason: a short sentence for logs and answers
     """
 
@@ -21,18 +21,18 @@
 
 
 class Unanswered(CallFailed):
-    """A call was sent, and its connection stayed silent for too long."""
+    """A call was sent but not answered within its timeout."""
 
 
 class SettingsFault(OleanderError):
-    """One setting that a binary can't start with."""
+    """A setting with which a program can't start."""
 
 
 class ConfigurationFault(OleanderError):
-    """One fault of an operators' file.
+    """An error in an operators' configuration file.
 
-    :ivar path: where in the file, as in ``pools[3].min_up``
-    :ivar remedy: what would make the file acceptable
+    :ivar path: location in the file, as in ``pools[3].min_up``
+    :ivar remedy: the change that would make the file valid
     """
 
     def __init__(self, path: str, reason: str, remedy: str) -> None:
@@ -43,13 +43,13 @@
 
 
 class InvariantBreach(OleanderError):
-    """A state that must never be reached; reported, never passed on."""
+    """A violated invariant; it is reported and never propagated further."""
 
 
 class BadMessage(OleanderError):
-    """A message from outside that doesn't follow its protocol.
+    """A message from outside that violates its protocol.
 
-    :ivar status: the HTTP status that answers it
+    :ivar status: HTTP status of the answer
     """
 
     def __init__(self, status: int, reason: str) -> None:
--- a/oleanderwood/event_log.py
+++ b/oleanderwood/event_log.py
@@ -1,7 +1,7 @@
-"""Structured log on standard output: one JSON object a line, never waiting.
+"""Structured, non-blocking log on standard output: one JSON object per line.
 
-What standard output doesn't take at once is dropped and counted; the count
-goes out with the next line that is taken.
+Lines that standard output doesn't accept at once are dropped and counted; the
+next line that is written contains the count.
 """
 
 import logging
@@ -16,17 +16,17 @@
 from oleanderwood import server_metrics
 
 MAX_LINES_PER_S = 2000
-"""Lines written in one second; a busy day's decisions take a few hundred."""
+"""Maximum lines per second; decisions on a busy day take a few hundred."""
 
 MAX_LINE_BYTES = 16 << 10
-"""Longest line; a fault with its traceback takes 6 KB at most."""
+"""Size limit of a line; an error with its traceback takes 6 KB at most."""
 
 MAX_CUT_TEXT = 200
-"""Characters that are left of each text in a line that would be longer."""
+"""Characters to which each text of a line that is too long is truncated."""
 
 
 class _State:
-    """What the log remembers between two lines."""
+    """State of the log between two lines."""
 
     node = ''
     second = 0
@@ -35,7 +35,7 @@
 
 
 class _Handler(logging.Handler):
-    """Passes what libraries log on, in the same form."""
+    """Writes log records of libraries in the same format."""
 
     def emit(self, record: logging.LogRecord) -> None:
         emit(
@@ -47,21 +47,24 @@
 
 
 def set_up(node: str) -> None:
-    """Send all logs to standard output, as of this process."""
+    """Send all logs of this process to standard output.
+
+    :param node: name of this process in each line
+    """
     _State.node = node
     root = logging.getLogger()
     root.handlers[:] = [_Handler()]
     root.setLevel(logging.INFO)
-    # It warns of each timeout that ends late, hundreds at once on a busy
-    # machine; the leader measures its lateness itself.
+    # curio warns about each timeout that expires late, hundreds at once on a
+    # busy machine; the leader measures its own lateness.
     logging.getLogger('curio.time').setLevel(logging.ERROR)
 
 
 def emit(part: str, event: str, **fields: typing.Any) -> None:
-    """Write one line, or drop and count it.
+    """Write one line, or drop it and count the drop.
 
     :param part: the part of the program, as in ``leader``
-    :param event: what was decided or learned, as in ``started``
+    :param event: what was decided or observed, as in ``started``
     """
     second = int(time.monotonic())
     if second != _State.second:
@@ -78,19 +81,22 @@
         row['dropped'] = _State.dropped
     line = msgspec.json.encode({**row, **fields}, enc_hook=str) + b'\n'
     if len(line) > MAX_LINE_BYTES:
-        line = msgspec.json.encode({**row, **_cut(fields)}) + b'\n'
+        line = msgspec.json.encode({**row, **_truncate(fields)}) + b'\n'
     _write(line)
 
 
-def _cut(fields: dict[str, typing.Any]) -> dict[str, typing.Any]:
-    """Give what is left of a line that is too long, as much as it matters."""
-    left: dict[str, typing.Any] = {'cut': True}
+def _truncate(fields: dict[str, typing.Any]) -> dict[str, typing.Any]:
+    """Return the fields of a line that is too long, with texts truncated.
+
+    Fields other than texts and numbers are dropped.
+    """
+    truncated: dict[str, typing.Any] = {'cut': True}
     for name, value in fields.items():
         if isinstance(value, str):
-            left[name] = value[:MAX_CUT_TEXT]
+            truncated[name] = value[:MAX_CUT_TEXT]
         elif isinstance(value, int | float):
-            left[name] = value
-    return left
+            truncated[name] = value
+    return truncated
 
 
 def _drop() -> None:
@@ -106,7 +112,7 @@
     try:
         os.write(descriptor, line)
     except OSError:
-        # Nobody reads any more; there is nowhere else to say so.
+        # Nobody reads standard output any more, and there is no other log.
         _drop()
         return
     _State.dropped = 0
--- a/oleanderwood/ids.py
+++ b/oleanderwood/ids.py
@@ -1,11 +1,11 @@
-"""Identifier types that all modules share."""
+"""Identifier types shared by all modules."""
 
 import typing
 
 ExecutorId = typing.NewType('ExecutorId', str)
-"""An executor's id, which it may keep as it starts again."""
+"""An executor's id, which may stay the same across restarts."""
 VmId = typing.NewType('VmId', str)
-"""One life of an executor; see :mod:`oleanderwood.pools.lives`."""
+"""One incarnation of an executor; see :mod:`oleanderwood.pools.lives`."""
 Fence = typing.NewType('Fence', int)
 """See :mod:`oleanderwood.pools.fences`."""
 PoolId = typing.NewType('PoolId', str)
@@ -13,7 +13,7 @@
 TeamId = typing.NewType('TeamId', str)
 TenantId = typing.NewType('TenantId', str)
 KeyDigest = typing.NewType('KeyDigest', bytes)
-"""What is kept of a caller's key."""
+"""Digest of a caller's key; the key itself is not stored."""
 JobId = typing.NewType('JobId', str)
 DataCentre = typing.NewType('DataCentre', str)
 OperationId = typing.NewType('OperationId', str)
--- a/oleanderwood/server_metrics.py
+++ b/oleanderwood/server_metrics.py
@@ -1,14 +1,14 @@
-"""Counters and latencies of a server, served with its probes."""
+"""Metrics of a server, returned by its ``/metrics`` endpoint."""
 
 import prometheus_client
 
 REGISTRY = prometheus_client.CollectorRegistry()
 
 LATENCY_BUCKETS_S = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
-"""Callers wait 3 s; a calm answer takes 10 ms."""
+"""Callers wait up to 3 s; an answer under light load takes 10 ms."""
 
 JOB_BUCKETS_S = (0.5, 1.0, 2.0, 3.0, 5.0, 8.0, 13.0, 21.0, 60.0)
-"""Objectives of today's users lie between 2 and 15 s."""
+"""Users' objectives are between 2 and 15 s."""
 
 CALLER_SECONDS = prometheus_client.Histogram(
     'oleander_server_caller_seconds',
--- a/oleanderwood/verdict.py
+++ b/oleanderwood/verdict.py
@@ -1,20 +1,20 @@
-"""The verdict: whether a call that left the process has run."""
+"""Whether a call to another process has run."""
 
 import enum
 
 
 class Verdict(enum.Enum):
-    """What is known of a call once it has ended."""
+    """Whether a finished call has run, as far as it is known."""
 
     NOT_RUN = 'not-run'
-    """Proof that the call did not run; it may be retried by anyone."""
+    """The call provably did not run; anyone may retry it."""
 
     MAY_HAVE_RUN = 'may-have-run'
-    """No proof either way; only an idempotent call may be retried."""
+    """The call may have run; it may be retried only if it is idempotent."""
 
     RAN = 'ran'
     """The callee answered that the call ran."""
 
 
 HEADER = 'Oleander-Verdict'
-"""Header of every refused or failed answer; its value is the verdict's."""
+"""Header of every refused or failed answer, with the value of its verdict."""
--- a/tests/test_boot.py
+++ b/tests/test_boot.py
@@ -1,4 +1,4 @@
-"""Tests of the settings file of a server."""
+"""Tests of boot: the settings file of a server."""
 
 import json
 import math
@@ -53,13 +53,14 @@
 
 
 def test_callers_leave_half_of_the_descriptors_to_others(monkeypatch):
-    """A server that callers held full could reach neither store nor workers:
-    it took 4,096 connections of callers where it had 3,900 for all.
+    """A server whose descriptors were all in use by callers could reach
+    neither the store nor the workers: it accepted 4,096 connections from
+    callers, with 3,900 descriptors for everything.
     """
-    bounds = []
+    limits = []
 
     def listen(address, handler, max_connections=math.inf):
-        bounds.append(max_connections)
+        limits.append(max_connections)
         raise OSError('only the bound is of interest')
 
     monkeypatch.setattr(server.http_server, 'listen', listen)
@@ -70,4 +71,4 @@
             await server._run(server.make_server(settings), '')
 
     curio.run(main)
-    assert bounds == [2050]
+    assert limits == [2050]
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Tests of connections."""
+"""Tests of the connection pool."""
 
 import curio
 import pytest
@@ -12,11 +12,11 @@
 
 
 def with_server(use):
-    async def answer(request):
+    async def handle(request):
         return http.Response(200, [], b'x')
 
     async def main():
-        server = http_server.listen('127.0.0.1:0', answer)
+        server = http_server.listen('127.0.0.1:0', handle)
         serving = await curio.spawn(http_server.run, server)
         state = connections.Connections()
         result = await use(state, server)
@@ -30,7 +30,7 @@
     return curio.run(main)
 
 
-async def ask(connection):
+async def send_request(connection):
     response = await http_client.exchange(
         connection, 'GET', '/', [(b'host', b'a')]
     )
@@ -41,11 +41,11 @@
     async def use(state, server):
         seen = set()
         for _ in range(3):
-            taken = await connections.take(state, server.address, 1, 1.0)
-            assert not taken.written
-            await ask(taken)
-            await connections.give_back(state, taken)
-            seen.add(taken)
+            connection = await connections.take(state, server.address, 1, 1.0)
+            assert not connection.written
+            await send_request(connection)
+            await connections.give_back(state, connection)
+            seen.add(connection)
         return len(seen)
 
     assert with_server(use) == 1
@@ -53,10 +53,10 @@
 
 def test_limit_is_kept():
     async def use(state, server):
-        taken = await connections.take(state, server.address, 1, 1.0)
+        connection = await connections.take(state, server.address, 1, 1.0)
         with pytest.raises(errors.CallFailed) as caught:
             await connections.take(state, server.address, 1, 1.0)
-        await connections.drop(state, taken)
+        await connections.drop(state, connection)
         again = await connections.take(state, server.address, 1, 1.0)
         await connections.drop(state, again)
         return caught.value.verdict
@@ -80,7 +80,7 @@
         if unfit == 'half-read':
             await http_client.exchange(first, 'GET', '/', [(b'host', b'a')])
         else:
-            await ask(first)
+            await send_request(first)
         await connections.give_back(state, first)
         if unfit == 'closed':
             (accepted,) = server.connections
@@ -94,45 +94,45 @@
 
 
 def test_calls_beyond_the_limit_wait_for_a_connection():
-    """A pass that orders a hundred machines to move calls one address.
+    """Moving a hundred machines at once sends as many calls to one address.
 
-    What operators saw: nine tenths of the moves of a fleet of 276 machines
-    had a line that their outcome is doubtful, and each of those machines was
-    left alone for a while. They had never been sent: the sixteenth connection
-    was in use, and the call failed at once.
+    Calls failed at once when all 16 connections were in use. In a fleet of 276
+    machines, nine tenths of the moves were therefore logged as unconfirmed
+    although they had never been sent, and each of those machines was then
+    skipped for a while.
     """
 
     async def use(state, server):
-        most = 0
+        max_open = 0
 
         async def call():
-            nonlocal most
-            taken = await connections.take(state, server.address, 4, 1.0)
-            most = max(most, state.open_counts[server.address])
-            await ask(taken)
-            await connections.give_back(state, taken)
+            nonlocal max_open
+            connection = await connections.take(state, server.address, 4, 1.0)
+            max_open = max(max_open, state.open_counts[server.address])
+            await send_request(connection)
+            await connections.give_back(state, connection)
 
         async with curio.TaskGroup() as group:
             for _ in range(100):
                 await group.spawn(call)
-        return most
+        return max_open
 
     assert with_server(use) == 4
 
 
 def test_wait_for_a_connection_ends():
     async def use(state, server):
-        taken = await connections.take(state, server.address, 1, 1.0)
-        gave_up = await curio.spawn(
+        connection = await connections.take(state, server.address, 1, 1.0)
+        cancelled = await curio.spawn(
             connections.take, state, server.address, 1, 1.0
         )
-        next_one = await curio.spawn(
+        next_waiter = await curio.spawn(
             connections.take, state, server.address, 1, 1.0
         )
         await curio.sleep(0.01)
-        await gave_up.cancel()
-        await connections.drop(state, taken)
-        await connections.drop(state, await next_one.join())
+        await cancelled.cancel()
+        await connections.drop(state, connection)
+        await connections.drop(state, await next_waiter.join())
         return bool(state.waiters)
 
     assert not with_server(use)
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""Tests of the structured log."""
+"""Tests of event_log."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 from oleanderwood import event_log
 from oleanderwood import server_metrics
 
-TALKATIVE = """
+VERBOSE_PROGRAM = """
 from oleanderwood import event_log
 event_log.set_up('s1')
 for number in range(1500):
@@ -29,7 +29,7 @@
     reader, writer = os.pipe()
     try:
         done = subprocess.run(
-            [sys.executable, '-c', TALKATIVE],
+            [sys.executable, '-c', VERBOSE_PROGRAM],
             stdout=writer,
             stderr=subprocess.PIPE,
             timeout=60,
@@ -44,7 +44,7 @@
 
 
 def test_lines_beyond_the_bound_are_dropped_and_counted(capfd, monkeypatch):
-    # On a busy machine the lines would spread over two seconds of its clock.
+    # With the real clock, the lines could fall into two seconds under load.
     now = types.SimpleNamespace(s=1e6)
     clock = types.SimpleNamespace(monotonic=lambda: now.s, time=lambda: 0.0)
     monkeypatch.setattr(event_log, 'time', clock)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -106,14 +106,14 @@
         return http.Response(200, [], b'fine')
 
     async def use(server):
-        kept = await http_client.connect(server.address, 1.0)
+        connection = await http_client.connect(server.address, 1.0)
         failed = await http_client.call(server.address, 'GET', '/fail')
         assert failed.status == 500
         response = await http_client.exchange(
-            kept, 'GET', '/', [(b'host', b'a')]
+            connection, 'GET', '/', [(b'host', b'a')]
         )
         body = await http.read_all(response.body, 100)
-        await http.close(kept.sock)
+        await http.close(connection.sock)
         return body
 
     assert curio.run(_with_server, fail, use) == b'fine'
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""Tests of http_server: peers that are slow, many or leave."""
+"""Tests of http_server with slow, many and disconnecting peers."""
 
 import math
 
@@ -105,15 +105,15 @@
     assert received.startswith(b'HTTP/1.1 200 ')
 
 
-def waits(connection):
-    """Say whether a connection reads from its peer by now."""
+def awaits_input(connection):
+    """Return whether a connection waits for input from its peer."""
     return connection.read_deadline_s < math.inf
 
 
 def test_request_that_arrived_before_the_stop_is_answered():
     async def use(server):
         sock = await connect(server)
-        while not any(waits(c) for c in server.connections):
+        while not any(awaits_input(c) for c in server.connections):
             await curio.sleep(0.01)
         stopping = await curio.spawn(http_server.stop, server)
         await sock.sendall(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n')
@@ -128,11 +128,11 @@
 
 
 def test_request_that_was_sent_before_its_connection_ends_is_answered():
-    """Nothing else runs between the sending and the end."""
+    """No other task runs between sending the request and ending the input."""
 
     async def use(server):
         async with await connect(server) as sock:
-            while not any(waits(c) for c in server.connections):
+            while not any(awaits_input(c) for c in server.connections):
                 await curio.sleep(0.01)
             (connection,) = server.connections
             await sock.sendall(b'GET / HTTP/1.1\r\nhost: a\r\n\r\n')
@@ -158,8 +158,8 @@
             return received
 
     received = with_server(use)
-    places = [received.index(b'\r\n\r\n' + n) for n in (b'1', b'2', b'3')]
-    assert places == sorted(places)
+    positions = [received.index(b'\r\n\r\n' + n) for n in (b'1', b'2', b'3')]
+    assert positions == sorted(positions)
 
 
 @pytest.mark.parametrize('cut_answer', [None, http.Response(504, [], b'x')])
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -1,4 +1,4 @@
-"""Tests of ticks."""
+"""Tests of ticks: aligned sleeps."""
 
 import hypothesis
 from hypothesis import strategies as st
--- a/tests/utils_raw_callers.py
+++ b/tests/utils_raw_callers.py
@@ -1,4 +1,4 @@
-"""Callers that write bytes of their own to a server, over loopback."""
+"""Helpers that send raw bytes to a server over loopback."""
 
 import curio
 
@@ -7,14 +7,14 @@
 from oleanderwood.web import http_server
 
 PATIENCE_S = 20.0
-"""How long a caller waits for what must come; generous, no measurement."""
+"""Timeout in seconds for expected input; generous for slow machines."""
 
 NEXT = b'GET /next HTTP/1.1\r\nhost: a\r\n\r\n'
-"""What a faulty request may hide: nobody sent it as a request."""
+"""A valid request; hidden in a malformed one it must not be handled."""
 
 
-async def tell(request):
-    """Answer with what the request seems to be."""
+async def describe_request(request):
+    """Answer with the method, target and body size of the parsed request."""
     try:
         body = await http.read_all(request.body, 1000)
     except ValueError as error:
@@ -23,8 +23,8 @@
     return http.Response(200, [], seen.encode())
 
 
-def with_server(use, handler=tell, **settings):
-    """Run ``use(server)`` beside a server."""
+def with_server(use, handler=describe_request, **settings):
+    """Run ``use(server)`` with a running server; return its result."""
 
     async def main():
         server = http_server.listen('127.0.0.1:0', handler)
@@ -45,7 +45,7 @@
 
 
 async def read_to_end(sock):
-    """Read until the server ends its output."""
+    """Read until the server closes its output."""
     received = b''
     async with curio.timeout_after(PATIENCE_S):
         while piece := await sock.recv(65536):
@@ -54,7 +54,7 @@
 
 
 async def read_until(sock, wanted):
-    """Read until some bytes have come."""
+    """Read until the input contains ``wanted``."""
     received = b''
     async with curio.timeout_after(PATIENCE_S):
         while wanted not in received:
@@ -65,14 +65,17 @@
 
 
 async def send_to_end(server, sent):
-    """Send bytes, end the input only once the server has, give its answer."""
+    """Send bytes and return all output of the server.
+
+    The client keeps its side open until the server has closed its output.
+    """
     async with await connect(server) as sock:
         await sock.sendall(sent)
         return await read_to_end(sock)
 
 
 async def is_served(server):
-    """Say whether a good caller is answered."""
+    """Return whether a valid request is answered."""
     async with await connect(server) as sock:
         await sock.sendall(NEXT)
         return b'GET /next 0;' in await read_until(sock, b';')
