--- a/oleanderwood/ids.py
+++ b/oleanderwood/ids.py
@@ -5,7 +5,8 @@
 ExecutorId = typing.NewType('ExecutorId', str)
 """An executor's id, which may stay the same across restarts."""
 VmId = typing.NewType('VmId', str)
-"""One incarnation of an executor; see :mod:`oleanderwood.pools.incarnations`."""
+"""One incarnation of an executor; see
+:mod:`oleanderwood.pools.incarnations`."""
 Fence = typing.NewType('Fence', int)
 """See :mod:`oleanderwood.pools.fences`."""
 PoolId = typing.NewType('PoolId', str)
