--- a/oleanderwood/leading/previous_leaders.py
+++ b/oleanderwood/leading/previous_leaders.py
@@ -112,12 +112,12 @@
 
     :param end_s: time by which all of them had ended
     """
-    leases_s = end_s + ORDER_DELAY_S + max_lease_s(leader)
+    max_end_s = end_s + ORDER_DELAY_S + max_lease_s(leader)
     for worker in leader.workers.values():
         if not worker.fenced:
-            worker.lease_end_s = min(worker.lease_end_s, leases_s)
+            worker.lease_end_s = min(worker.lease_end_s, max_end_s)
     leader.worker_lists_unread_until_s = min(
-        leader.worker_lists_unread_until_s, leases_s
+        leader.worker_lists_unread_until_s, max_end_s
     )
 
 
--- a/oleanderwood/leading/roles.py
+++ b/oleanderwood/leading/roles.py
@@ -10,7 +10,7 @@
 
 PREFIX = 'ow/roles/'
 LEADER_KEY = 'ow/roles/leader'
-"""Key of the latest leader; it is kept after its holder is gone, so that no
+"""Key of the latest leader; it stays after that leader is gone, so that no
 term is used twice."""
 
 ALIVE_KEY = 'ow/roles/alive'
@@ -75,7 +75,11 @@
     :ivar leaders: known leaders of terms that are not known to have ended
     :ivar ended_term: all leaders up to this term have certainly ended
     :ivar alive_revision: revision of the liveness key; 0 if there is none
-    :ivar alive_lease: the lease that the liveness key is attached to
+    :ivar alive_process: id of the process that wrote the liveness key; empty
+        if there is none
+    :ivar alive_lease: the lease that the liveness key is attached to; 0 if
+        there is none
+    :ivar servers: servers that have a row in the store, by key
     :ivar removed_servers: recently removed servers, by key
     :ivar is_loaded: whether the roles have been read from the store
     """
@@ -155,7 +159,7 @@
 def apply_items(
     roles: Roles, items: collections.abc.Iterable[stores.Item]
 ) -> None:
-    """Apply the items that a refused write returned."""
+    """Apply the items that a refused write returned, except removed ones."""
     for item in items:
         if not item.removed:
             apply_value(roles, item.key, item.value, item.revision, item.lease)
@@ -187,7 +191,10 @@
 
 
 def reset(roles: Roles, now_s: float) -> None:
-    """Forget what a complete read of the store is about to replace."""
+    """Forget the liveness key and all servers before a complete read.
+
+    The servers count as removed at this time.
+    """
     note_alive(roles, '', 0, 0)
     for key in list(roles.servers):
         _note_removed(roles, key, now_s)
--- a/oleanderwood/leading/state.py
+++ b/oleanderwood/leading/state.py
@@ -58,7 +58,7 @@
         await self._event.set()
 
     async def wait(self, max_s: float) -> None:
-        """Wait for the signal, or until the time is over."""
+        """Wait for the signal, at most ``max_s`` seconds, and clear it."""
         async with curio.ignore_after(max_s):
             await self._event.wait()
         self._event.clear()
@@ -127,11 +127,14 @@
     """State of one server process.
 
     :ivar process: id of this incarnation of the server
+    :ivar configuration_revision: revision of the store at which
+        ``configuration`` was written; 0 if none was decoded yet
     :ivar configuration_confirmed_s: send time of the last read of the
         configuration that is known to include all its changes
     :ivar configuration_readable: whether the newest configuration could be
         decoded
     :ivar limits: limits by tenant, including tenants that were removed
+    :ivar lease: id of the server's lease in the store; 0 if it has none
     :ivar lease_until_s: time by which the server's lease may have expired
     :ivar store_contact_s: send time of the latest call that the store answered
     :ivar store_back_since_s: time at which the store answered again after an
@@ -139,6 +142,8 @@
     :ivar store_back: set at that time, for tasks that wait for the store
     :ivar began_s: start time of the process
     :ivar last_led_term: the last term that this process led or is leading
+    :ivar leader: state of the term that this process leads; None if it does
+        not lead
     :ivar late_order_executors: executors to be called because an order to them
         may still arrive late
     :ivar late_orders_changed: wakes the task that calls these executors
@@ -190,6 +195,8 @@
     :ivar missing_workers: workers that the last list did not contain
     :ivar waves: maintenance waves by number
     :ivar stored_waves: encoded progress of waves, as stored by earlier leaders
+    :ivar arrival_history: arrivals of jobs by pool, from which bursts of
+        demand are predicted
     :ivar first_sizes: number of machines of each pool before the first
         announced order
     :ivar needs: number of machines that each pool needs now
@@ -202,9 +209,11 @@
     :ivar announced: time at which an order was announced, by machine
     :ivar maintained: announced machines that the order may take down for
         maintenance
-    :ivar order_after_s: time from which a machine that an earlier leader sent
-        an order may be sent one by this leader
-    :ivar no_order_before_s: the same for all other machines
+    :ivar order_after_s: time from which this leader may send an order to a
+        machine for which an earlier leader announced one, by machine
+    :ivar no_order_before_s: time from which this leader may send orders to
+        machines that are not in ``order_after_s``; 0 unless the announcements
+        of earlier leaders could not be decoded
     :ivar orders_left: number of orders that may still be sent, as of
         ``orders_left_as_of_s``
     """
@@ -264,6 +273,20 @@
     :ivar fences_exhausted: whether an executor has received nearly all fences
         of this term
     :ivar deposed: reason why the leader must stop; empty while it leads
+    :ivar entries: workers' entries that the leader does not use
+    :ivar orders: orders to be sent to each worker; None ends the loop that
+        sends them
+    :ivar ends_stored: set when more ends of a worker's runs are stored, and
+        can be acknowledged to it
+    :ivar last_report_s: send time of the call answered by the newest report
+        that was processed, by worker
+    :ivar unwritten_worker_lists: pools whose worker list has to be written
+    :ivar lossy_until_s: time until which calls to workers count as lossy,
+        since one got no answer
+    :ivar paces: measured speed by worker
+    :ivar written_revisions: last known revision of each key that the leader
+        writes
+    :ivar new_workers: registered workers whose loops have not been started
     :ivar worker_lists_unread_until_s: time by which the leases have expired of
         the workers whose stored worker list could not be decoded
     :ivar early_cancels: jobs whose cancel was read before the job itself
@@ -418,7 +441,7 @@
 
 
 def fence_number(leader: Leader, worker: workers_.Worker) -> int:
-    """Return the number of that order's fence within the term, for the log."""
+    """Return the number within the term of ``fence_of()``, for the log."""
     executor = incarnations.executor_of(worker.entry.worker)
     return fences_.number(leader.fences, executor)
 
@@ -460,6 +483,8 @@
 def leader_lease_until_s(leader: Leader) -> float:
     """Return when the lease of the leader's liveness key may expire.
 
+    Return -inf if the server has no lease, or if the liveness key is not known
+    to belong to this process and to be attached to the server's current lease.
     A lease that the server obtained later says nothing about who leads:
     another server may have been elected while it had none.
     """
--- a/oleanderwood/leading/term.py
+++ b/oleanderwood/leading/term.py
@@ -72,7 +72,10 @@
 
 
 async def lead(server: states.Server, term: int, revision: int) -> None:
-    """Lead until deposed or until the server stops."""
+    """Lead until deposed or until the server stops.
+
+    :param revision: revision of the leader key
+    """
     now_s = clock.now_s()
     leader = states.Leader(
         server, term, revision, now_s, ledgers.Ledger(term=term)
@@ -92,8 +95,8 @@
         await _resign(leader)
         return
     if server.max_asking_term > term:
-        # That leader was told that this server does not lead, so it does
-        # not wait for leases that this term would grant.
+        # The later leader was told that this server does not lead, so it
+        # does not wait for leases that this term would grant.
         event_log.emit(
             'leader',
             'gave-up',
@@ -163,7 +166,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoredState:
-    """What earlier leaders and the front ends left in the store."""
+    """What earlier leaders, front ends and operators left in the store.
+
+    :ivar worker_lists: workers that earlier leaders may have used, by pool
+    :ivar jobs: jobs and their cancels, and the policy
+    :ivar progress: progress of jobs
+    :ivar waves: progress of maintenance waves
+    :ivar orders: announcements of orders to machines; None if there are none
+    """
 
     worker_lists: stores.Items
     jobs: stores.Items
@@ -239,7 +249,7 @@
 
 
 def _load_jobs(leader: states.Leader, stored: StoredState) -> None:
-    """Add the stored jobs, then their progress, then their cancels."""
+    """Apply the stored jobs and policy, then progress, then cancels."""
     now_s = clock.now_s()
     cancels = []
     for item in stored.jobs.items:
@@ -266,8 +276,8 @@
         try:
             entries_ = _callable_workers(item)
         except msgspec.MsgspecError as error:
-            # The workers are registered from their entries. It is unknown
-            # which of them were used, so tasks that may be running
+            # These workers are registered later, from their entries. It is
+            # unknown which of them were used, so tasks that may be running
             # somewhere wait until all leases have expired.
             event_log.emit('worker', 'malformed', key=item.key, why=str(error))
             leader.worker_lists_unread_until_s = leases_end_s
@@ -395,8 +405,8 @@
 ) -> None:
     """End the term if a worker's loop raises an exception.
 
-    Otherwise nobody would renew that worker's lease any more; the next term
-    contacts it anew.
+    Otherwise that worker's lease would not be renewed any more. The leader of
+    the next term starts new loops for it.
     """
     try:
         await loop
--- a/tests/test_takeover_defects.py
+++ b/tests/test_takeover_defects.py
@@ -20,12 +20,12 @@
 
 def _patch_term(patch, term_of):
     """Make leaders add jobs as if accepted under another term."""
-    take = intake._add_job
+    add_job = intake._add_job
 
     def add_under_other_term(leader, job, now_s, taking_over, revision=0):
         term = term_of(leader, job, taking_over)
         job = msgspec.structs.replace(job, term=term)
-        take(leader, job, now_s, taking_over, revision)
+        add_job(leader, job, now_s, taking_over, revision)
 
     patch.setattr(intake, '_add_job', add_under_other_term)
 
