--- a/oleanderwood/boot.py
+++ b/oleanderwood/boot.py
@@ -19,8 +19,13 @@
     :ivar callers_listen: address for callers
     :ivar ready_listen: address for the readiness checks of the load balancer
     :ivar inner_port: port for other servers, metrics and dumps
-    :ivar admin_token: token that an apply must contain; '' refuses all
-    :ivar cpu_share: part of a core that the process gets
+    :ivar store_lease_min_ms: shortest lease that the store grants
+    :ivar heartbeat_ms: interval at which workers write their entries
+    :ivar maintenance_s: time that maintenance of a machine takes
+    :ivar move_s: time that a move of a machine to another pool takes
+    :ivar admin_token: token that an apply must contain; '' refuses every
+        apply
+    :ivar cpu_share: fraction of a core that the process gets
     :ivar cpu_speed: speed factor of that core; ``cpu_share`` times this factor
         is the processor time in cores
     :ivar descriptors: maximum number of open files and sockets
--- a/oleanderwood/clock.py
+++ b/oleanderwood/clock.py
@@ -4,9 +4,10 @@
 
 
 def now_s() -> float:
-    """Return the seconds of a clock that never jumps and never pauses.
+    """Return seconds of a clock that never jumps and counts suspended time.
 
-    It times leases, which must have expired when a suspended machine resumes.
+    Leases use it, so that a lease that ends while the machine is suspended has
+    expired when the machine resumes.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -14,6 +15,6 @@
 def wall_ms() -> float:
     """Return milliseconds since 1970.
 
-    Only schedules use this clock, since it may jump.
+    This clock may jump; use it for schedules, not for leases.
     """
     return time.time() * 1000
--- a/oleanderwood/codec.py
+++ b/oleanderwood/codec.py
@@ -8,7 +8,7 @@
 
 
 def to_json(value: typing.Any) -> bytes:
-    """Encode a struct as JSON."""
+    """Encode a struct or plain data as JSON."""
     return msgspec.json.encode(value)
 
 
--- a/oleanderwood/daemon.py
+++ b/oleanderwood/daemon.py
@@ -77,12 +77,10 @@
 
 
 async def signal_socket(*numbers: int) -> curio.io.Socket:
-    """Handle signals; return a socket that receives each as one byte.
+    """Handle signals; return a socket that receives each signal's number.
 
-    The byte is the number of the signal.
-
-    curio doesn't handle signals itself; a socket wakes its kernel. This must
-    be called in the main thread.
+    Each signal arrives as one byte. curio doesn't handle signals itself; a
+    socket wakes its kernel (its event loop). Call this in the main thread.
     """
     receiver, sender = socket.socketpair()
     sender.setblocking(False)
@@ -113,7 +111,8 @@
     be handled only after the next event.
     """
     signal.set_wakeup_fd(_WAKE_WRITER.fileno(), warn_on_full_buffer=False)
-    # Use a separate descriptor: in curio only one task may wait for each.
+    # Use a separate descriptor: in curio, only one task may wait for each
+    # descriptor.
     async with curio.io.Socket(_WAKE_READER.dup()) as reader:
         while await reader.recv(64):
             pass
--- a/oleanderwood/errors.py
+++ b/oleanderwood/errors.py
@@ -47,9 +47,10 @@
 
 
 class BadMessage(OleanderError):
-    """A message from outside that violates its protocol.
+    """A message from outside the process that violates its protocol.
 
     :ivar status: HTTP status of the answer
+    :ivar reason: what is wrong, sent in the answer
     """
 
     def __init__(self, status: int, reason: str) -> None:
--- a/oleanderwood/event_log.py
+++ b/oleanderwood/event_log.py
@@ -22,11 +22,17 @@
 """Size limit of a line; an error with its traceback takes 6 KB at most."""
 
 MAX_CUT_TEXT = 200
-"""Characters to which each text of a line that is too long is truncated."""
+"""Maximum length in characters of each string in a line that is too long."""
 
 
 class _State:
-    """State of the log between two lines."""
+    """State of the log between two lines.
+
+    :ivar node: name of this process in each line
+    :ivar second: latest second of monotonic time in which a line was emitted
+    :ivar lines: number of lines emitted in that second
+    :ivar dropped: number of lines dropped since the latest written line
+    """
 
     node = ''
     second = 0
@@ -86,9 +92,9 @@
 
 
 def _truncate(fields: dict[str, typing.Any]) -> dict[str, typing.Any]:
-    """Return the fields of a line that is too long, with texts truncated.
+    """Return the fields of a line that is too long, with strings truncated.
 
-    Fields other than texts and numbers are dropped.
+    Fields other than strings and numbers are dropped.
     """
     truncated: dict[str, typing.Any] = {'cut': True}
     for name, value in fields.items():
--- a/oleanderwood/ids.py
+++ b/oleanderwood/ids.py
@@ -18,6 +18,6 @@
 DataCentre = typing.NewType('DataCentre', str)
 OperationId = typing.NewType('OperationId', str)
 Address = typing.NewType('Address', str)
-"""An IP number and a port, as in ``127.0.0.1:8080``."""
+"""An IP address and a port, as in ``127.0.0.1:8080``."""
 TaskId = typing.NewType('TaskId', str)
 """Job, occurrence, step and index, as in ``5c0e7a21d94b36f8.0.1.17``."""
--- a/oleanderwood/server_metrics.py
+++ b/oleanderwood/server_metrics.py
@@ -8,7 +8,7 @@
 """Callers wait up to 3 s; an answer under light load takes 10 ms."""
 
 JOB_BUCKETS_S = (0.5, 1.0, 2.0, 3.0, 5.0, 8.0, 13.0, 21.0, 60.0)
-"""Users' objectives are between 2 and 15 s."""
+"""Objectives of current users are between 2 and 15 s."""
 
 CALLER_SECONDS = prometheus_client.Histogram(
     'oleander_server_caller_seconds',
--- a/oleanderwood/verdict.py
+++ b/oleanderwood/verdict.py
@@ -10,11 +10,11 @@
     """The call provably did not run; anyone may retry it."""
 
     MAY_HAVE_RUN = 'may-have-run'
-    """The call may have run; it may be retried only if it is idempotent."""
+    """It is unknown whether the call ran; retry only if idempotent."""
 
     RAN = 'ran'
     """The callee answered that the call ran."""
 
 
 HEADER = 'Oleander-Verdict'
-"""Header of every refused or failed answer, with the value of its verdict."""
+"""HTTP header of each refused or failed answer; it contains the verdict."""
--- a/oleanderwood/web/connections.py
+++ b/oleanderwood/web/connections.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass
 class IdleConnection:
-    """A connection without a request.
+    """A pooled connection that is not in use.
 
     :ivar since_s: monotonic time at which it became idle
     """
@@ -61,8 +61,8 @@
 ) -> http_client.Connection:
     """Return an idle connection or a new one; wait while all are in use.
 
-    Failing at once at the limit postponed 1,768 moves of machines between the
-    pools of a fleet of 276 in one day, while 1,862 moves were made.
+    If calls failed at once at the limit, moves of machines between pools would
+    be postponed: 1,768 in one day in a fleet of 276, while 1,862 were made.
 
     :param limit: maximum number of open connections to this address
     :param timeout_s: longest wait for a connection, and again for opening it
@@ -123,13 +123,19 @@
 
 
 async def _reuse(
-    state: Connections, address: ids.Address, since_s: float
+    state: Connections, address: ids.Address, min_since_s: float
 ) -> http_client.Connection | None:
+    """Return an idle connection, or None; close those that are unusable.
+
+    :param min_since_s: connections that became idle earlier are closed
+    """
     idle_connections = state.idle.get(address)
     while idle_connections:
         idle = idle_connections.pop()
         connection = idle.connection
-        if idle.since_s >= since_s and http_client.is_quiet(connection):
+        if idle.since_s >= min_since_s and http_client.has_no_input(
+            connection
+        ):
             connection.written = False
             return connection
         await drop(state, connection)
@@ -151,7 +157,7 @@
 
 
 async def drop(state: Connections, connection: http_client.Connection) -> None:
-    """Close a connection and discard its unread input."""
+    """Close a connection; data that still arrives on it is lost."""
     await _release_slot(state, connection.address)
     await http.close(connection.sock)
 
--- a/oleanderwood/web/http.py
+++ b/oleanderwood/web/http.py
@@ -10,7 +10,7 @@
 from oleanderwood import ids
 
 READ_BYTES = 65536
-"""Most bytes read from a socket at once; it bounds the memory of a buffer."""
+"""Maximum number of bytes read at once, which bounds what is buffered."""
 
 MAX_HEAD_BYTES = 65536
 """Size limit of a request or response head."""
--- a/oleanderwood/web/http_accepted.py
+++ b/oleanderwood/web/http_accepted.py
@@ -85,10 +85,12 @@
 def _body_error(
     connection: Connection, error: h11.RemoteProtocolError
 ) -> Exception:
+    # The second item tells whether the input has ended.
     if connection.protocol.trailing_data[1]:
         return ConnectionResetError(
             'connection closed during the request body'
         )
+    # The head is complete: pass a line end, so that the target isn't blamed.
     return http_head.to_bad_message(error, b'\n')
 
 
--- a/oleanderwood/web/http_client.py
+++ b/oleanderwood/web/http_client.py
@@ -70,7 +70,7 @@
     return connection.protocol.our_state is h11.IDLE
 
 
-def is_quiet(connection: Connection) -> bool:
+def has_no_input(connection: Connection) -> bool:
     """Return whether an idle connection is open and has no input.
 
     The peer may still close it at any time.
@@ -81,7 +81,7 @@
 
 
 async def shut(connection: Connection) -> None:
-    """Shut down both directions; this wakes tasks that wait on them."""
+    """Shut down both directions; tasks waiting on them see the end."""
     with contextlib.suppress(OSError):
         await connection.sock.shutdown(socket.SHUT_RDWR)
 
@@ -150,7 +150,7 @@
 
 
 async def read_head(connection: Connection) -> http.Response:
-    """Read the response's head; its body is streamed.
+    """Read a response's head; return the response with a streamed body.
 
     This may be called again after a timeout.
 
@@ -226,7 +226,7 @@
     headers: http.Headers,
     body: bytes | http.Chunks = b'',
 ) -> http.Response:
-    """Send one request; the response's body is streamed.
+    """Send one request; return the response with a streamed body.
 
     The headers must contain ``host``, and ``content-length`` or
     ``transfer-encoding`` for a body that isn't ``bytes``. The calling code
@@ -276,6 +276,7 @@
     """Send one request on a new connection and read the whole response.
 
     :raises errors.CallFailed: with the verdict
+    :raises ValueError: the response body is over ``MAX_BODY_BYTES``
     """
     connection = await connect(address, timeout_s)
     sent = [(b'host', address.encode('ascii'))] + (headers or [])
--- a/oleanderwood/web/http_head.py
+++ b/oleanderwood/web/http_head.py
@@ -11,7 +11,7 @@
 """Size limit of a target; RFC 9112 recommends at least 8,000."""
 
 MAX_REASON_CHARS = 200
-"""Length limit of a reason sent to a caller; reasons may quote its input."""
+"""Length limit of a reason sent to a caller; it may quote the request."""
 
 VERSIONS = (b'1.0', b'1.1')
 
@@ -57,6 +57,6 @@
     if status == 431 and b'\n' not in raw:
         return errors.BadMessage(414, 'the target is too long')
     if status >= 500:
-        # A status of 5xx would make callers retry the invalid request.
+        # A status of 5xx would invite the caller to retry the same request.
         status = 400
     return errors.BadMessage(status, str(error)[:MAX_REASON_CHARS])
--- a/oleanderwood/web/http_server.py
+++ b/oleanderwood/web/http_server.py
@@ -31,8 +31,13 @@
 stops; the peer may not be reading."""
 
 BACKLOG = 1024
+"""Maximum number of connections that wait to be accepted."""
+
 _POLL_S = 0.05
+"""Interval in seconds between two checks of the open connections."""
+
 MAX_CONNECTIONS = 4096
+"""Default limit of open connections."""
 
 
 @dataclasses.dataclass(eq=False)
@@ -81,8 +86,11 @@
 
 
 async def run(server: Server) -> None:
-    """Accept connections until :func:`stop`; cancel them when cancelled."""
-    watching = await curio.spawn(http_watch.run, server)
+    """Serve until :func:`stop` and until the last connection has ended.
+
+    If this is cancelled, it cancels the connections.
+    """
+    monitor_task = await curio.spawn(http_watch.run, server)
     server.accepting = await curio.spawn(_accept, server)
     try:
         await server.accepting.wait()
@@ -90,7 +98,7 @@
             await curio.sleep(_POLL_S)
     finally:
         await server.accepting.cancel()
-        await watching.cancel()
+        await monitor_task.cancel()
         tasks = [connection.task for connection in server.connections]
         for task in tasks:
             await task.cancel(blocking=False)
@@ -219,6 +227,7 @@
     # h11's header sequence is slow to iterate repeatedly.
     headers = list(event.headers)
     if not _announces_body(headers):
+        # Consume the end of the message, since no body will be read.
         protocol.next_event()
     return _make_request(server, connection, event, headers)
 
--- a/oleanderwood/web/http_watch.py
+++ b/oleanderwood/web/http_watch.py
@@ -19,11 +19,14 @@
 LOG = logging.getLogger('http-server')
 
 TICK_S = 0.25
+"""Interval in seconds between two checks of the connections."""
 
 EVICTION_DIVISOR = 64
-"""One connection in this many is evicted at a time when a server is full: some
-dozens, so that many idle callers can't block others, while most of the idle
-connections stay open."""
+"""Divisor of a full server's connection limit: the number evicted at a time.
+
+That is some dozens, so that many idle callers can't block others, while most
+connections stay open.
+"""
 
 SPARED_S = 2.0
 """How long, in seconds, a connection may wait for a request before it may be
@@ -43,7 +46,7 @@
 
 
 async def end_input(connection: http_accepted.Connection) -> None:
-    """Shut down the input of a connection.
+    """Shut down the input of a connection, which closes it once it is idle.
 
     A request that has already arrived is still answered.
     """
@@ -52,7 +55,11 @@
 
 
 async def evict_idle(server: typing.Any) -> None:
-    """Evict the longest idle connections if a new connection is pending."""
+    """Evict the longest idle connections if a new connection is pending.
+
+    Only connections idle for at least ``SPARED_S`` are evicted, and at most
+    about one in ``EVICTION_DIVISOR`` of the limit at a time.
+    """
     poll = select.poll()
     poll.register(server.sock.fileno(), select.POLLIN)
     if not poll.poll(0):
--- a/oleanderwood/web/ticks.py
+++ b/oleanderwood/web/ticks.py
@@ -9,15 +9,15 @@
 """Interval in seconds between the times at which sleeps end."""
 
 _PHASE_S = time.monotonic() % GRID_S
-"""Offset of this process, so that the processes of one VM don't all wake up at
-the same time."""
+"""Offset of the grid in this process, so that the processes of one VM don't
+all wake up at the same time."""
 
 
 async def pause(wanted_s: float) -> None:
     """Sleep until the last grid time within ``wanted_s``.
 
-    The sleep is at most ``GRID_S`` shorter than wanted. A sleep shorter than
-    the grid is not changed.
+    The sleep is shorter than wanted by less than ``GRID_S``. A sleep shorter
+    than the grid is not changed.
     """
     now_s = time.monotonic() - _PHASE_S
     await curio.sleep(aligned_sleep_s(wanted_s, now_s))
