--- a/oleanderwood/leading/dispatch.py
+++ b/oleanderwood/leading/dispatch.py
@@ -119,11 +119,11 @@
 
 
 async def _start_unanswered(leader, worker, task, run, error) -> None:
-    await worker_loop.note_failed_order(leader, worker, error)
+    await worker_loop.handle_failed_order(leader, worker, error)
     worker_loop.note_unanswered(leader, error)
     _log_start(leader, worker, task, run, error.verdict.value, error.reason)
     if error.verdict is verdicts.Verdict.NOT_RUN:
-        worker_loop.note_silence(worker, error.reason)
+        worker_loop.record_silence(worker, error.reason)
         if task.run is run:
             await _requeue_unstarted(leader, worker, task, 'not sent')
         return
@@ -154,7 +154,7 @@
         return
     _log_start(leader, worker, task, run, 'refused', refusal.value)
     if refusal is executors.Refusal.REPLACED:
-        await worker_loop.note_replaced(leader, worker)
+        await worker_loop.handle_replaced(leader, worker)
         _mark_unconfirmed(task, run)
         return
     if refusal is executors.Refusal.NO_TICKET:
@@ -172,7 +172,7 @@
     """Repeat a start that a later call of this leader has overtaken."""
     why = executors.Refusal.FENCED.value
     _log_start(leader, worker, task, run, 'refused', why)
-    if await worker_loop.note_fenced(leader, worker, fence):
+    if await worker_loop.handle_fenced(leader, worker, fence):
         await _send_start(leader, worker, task, run)
     else:
         _mark_unconfirmed(task, run)
@@ -232,14 +232,14 @@
     try:
         await executors.stop(leader.calls, worker.entry, task, attempt, fence)
     except executors.Fenced:
-        if await worker_loop.note_fenced(leader, worker, fence):
+        if await worker_loop.handle_fenced(leader, worker, fence):
             await _send_stop(leader, worker, task, attempt)
         return
     except executors.Replaced:
-        await worker_loop.note_replaced(leader, worker)
+        await worker_loop.handle_replaced(leader, worker)
         return
     except errors.CallFailed as error:
-        await worker_loop.note_failed_order(leader, worker, error)
+        await worker_loop.handle_failed_order(leader, worker, error)
         event_log.emit(
             'run',
             'stop',
@@ -281,7 +281,7 @@
             fence,
         )
     except executors.Fenced:
-        if await worker_loop.note_fenced(leader, worker, fence):
+        if await worker_loop.handle_fenced(leader, worker, fence):
             await _send_pace(leader, worker, task, percent)
         return
     except executors.Replaced as error:
@@ -289,7 +289,7 @@
         event_log.emit('run', 'pace-failed', task=task.name, why=str(error))
         return
     except errors.CallFailed as error:
-        await worker_loop.note_failed_order(leader, worker, error)
+        await worker_loop.handle_failed_order(leader, worker, error)
         event_log.emit('run', 'pace-failed', task=task.name, why=str(error))
         return
     run.pace_percent = percent
--- a/oleanderwood/leading/fleet_loop.py
+++ b/oleanderwood/leading/fleet_loop.py
@@ -49,7 +49,7 @@
 
 
 async def manage_always(leader: states.Leader) -> None:
-    """Advance waves and detect dead machines until cancelled."""
+    """Advance waves, detect dead machines, balance pools until cancelled."""
     while True:
         await curio.sleep(PASS_INTERVAL_S)
         if not states.may_act(leader):
@@ -105,21 +105,21 @@
             worker.maintenance_due = name not in progress.begun
     if decision.relocate is not None and not decision.order:
         await _relocate(leader, decision.relocate)
-    order = [
+    to_order = [
         name
         for name in decision.order
         if machine_handover.may_order(leader, name)
     ][: machine_handover.allowance(leader)]
-    if order and not await machine_handover.announce(
-        leader, order, maintenance=True
+    if to_order and not await machine_handover.announce(
+        leader, to_order, maintenance=True
     ):
         return
-    leader.fleet.orders_left -= len(order)
-    for name in order:
+    leader.fleet.orders_left -= len(to_order)
+    for name in to_order:
         await _maintain(leader, progress, name, by_machine.get(name))
-    if order:
-        # The list shows which machines went down: one that was maintained
-        # already, by an earlier leader's order, stays up.
+    if to_order:
+        # The list shows which machines went down: one that was already
+        # maintained by an earlier leader's order stays up.
         await pool_loop.read_machines(leader)
         await _write_begun(leader, progress)
     await _write_status(leader, progress, decision.completed)
@@ -128,9 +128,9 @@
 async def _relocate(leader: states.Leader, task: ledgers.Task) -> None:
     """Stop a long-running task once another worker has free capacity for it.
 
-    Without this check the task was started again on the same machine: in a
-    wave of 116 machines one task was stopped every five seconds, and its
-    machine's maintenance was late.
+    Stopped earlier, it was started again on the same machine: in a wave of 116
+    machines one task was stopped every five seconds, and its machine's
+    maintenance was late.
     """
     current = leader.workers.get(task.run.worker)
     if current is None:
@@ -182,10 +182,10 @@
         # An earlier order of this pass has used up the disruption budget.
         return
     wave = progress.wave.wave
-    ordered = rolling.MaintenanceOrder(
+    maintenance_order = rolling.MaintenanceOrder(
         leader.fleet.machines[name].worker, now_s
     )
-    progress.down[name] = ordered
+    progress.down[name] = maintenance_order
     if worker is not None:
         disruption_budget.mark_unavailable(worker, now_s)
     try:
@@ -208,7 +208,9 @@
     )
     if outcome is machine_calls.Outcome.DONE:
         progress.begun.add(name)
-        progress.down[name] = dataclasses.replace(ordered, taken=True)
+        progress.down[name] = dataclasses.replace(
+            maintenance_order, taken=True
+        )
         return
     del progress.down[name]
     progress.refused_until_s[name] = clock.now_s() + REFUSED_PAUSE_S
@@ -239,9 +241,9 @@
 async def _write_begun(
     leader: states.Leader, progress: rolling.Progress
 ) -> None:
-    """Persist which machines have begun, and since when the wave is known.
+    """Persist whose maintenance has begun, and since when the wave is known.
 
-    If the write is lost, a later leader sends an order that changes nothing.
+    If the write is lost, a later leader repeats orders, which changes nothing.
     """
     key = f'{WAVES_PREFIX}{progress.wave.wave}'
     age_s = clock.now_s() - progress.first_seen_s
--- a/oleanderwood/leading/intake.py
+++ b/oleanderwood/leading/intake.py
@@ -98,7 +98,7 @@
         return
     entry = ledgers.add(leader.ledger, job, now_s)
     if not taking_over:
-        pool_loop.note_arrival(leader, entry, now_s)
+        pool_loop.record_job_arrival(leader, entry, now_s)
         event_log.emit(
             'job',
             'taken',
--- a/oleanderwood/leading/pool_loop.py
+++ b/oleanderwood/leading/pool_loop.py
@@ -33,7 +33,8 @@
 from oleanderwood import server_metrics
 
 LIST_LAG_S = 1.0
-"""How long before the machine list a worker's entry may show the worker."""
+"""Longest time by which a worker's entry may precede the worker's appearance
+in the machine list."""
 
 SHORTAGE_LOG_INTERVAL_S = 1.0
 """Interval between two log lines on pools that lack machines."""
@@ -93,14 +94,14 @@
     missing = set()
     for worker in list(leader.workers.values()):
         name = worker.entry.worker
-        silent = worker.silent_since_s
+        silent_since_s = worker.silent_since_s
         executor = incarnations.executor_of(name)
         if (
             worker.first_contact_s > sent_s - LIST_LAG_S
             or executor in live_executors
         ):
             continue
-        if silent is not None and silent > sent_s:
+        if silent_since_s is not None and silent_since_s > sent_s:
             continue
         if leader.last_report_s.get(name, 0.0) > sent_s:
             # It answered a call sent after the list was requested.
@@ -132,7 +133,7 @@
     )
     for pool in configuration.services:
         demand.update_burst_state(leader.fleet.arrival_history, pool, now_s)
-    views, standby = _views(leader, now_s)
+    views, standby = _pool_views(leader, now_s)
     decision = rebalancing.decide(
         views,
         standby,
@@ -156,12 +157,16 @@
 
 
 async def _set_reclaimed(
-    leader: states.Leader, emptied: list[draining.MachineToDrain]
+    leader: states.Leader, to_drain: list[draining.MachineToDrain]
 ) -> None:
-    """Close workers whose machines are to be emptied; reopen all others."""
-    wanted = {row.machine: row for row in emptied}
+    """Reserve machines for other pools, and release all others.
+
+    A worker whose machine is to be drained gets no new tasks, and its runs
+    listed in ``stops`` are stopped.
+    """
+    by_machine = {row.machine: row for row in to_drain}
     for worker in leader.workers.values():
-        row = wanted.get(worker.entry.machine)
+        row = by_machine.get(worker.entry.machine)
         if (row is not None) != worker.is_reclaimed:
             event_log.emit(
                 'worker',
@@ -178,7 +183,7 @@
 def _log_shortage(
     leader: states.Leader,
     views: list[rebalancing.PoolView],
-    wanted: dict[ids.ServiceId, rebalancing.Need],
+    needs: dict[ids.ServiceId, rebalancing.Need],
     now_s: float,
 ) -> None:
     """Log the pools that have fewer machines than needed, once a second."""
@@ -187,8 +192,8 @@
     rows = {
         view.service: {
             'has': len(view.members),
-            'needs': wanted[view.service].now,
-            'soon': wanted[view.service].soon,
+            'needs': needs[view.service].now,
+            'soon': needs[view.service].soon,
             'idle': sum(
                 member.worker is not None and not member.worker.runs
                 for member in view.members
@@ -202,11 +207,12 @@
         event_log.emit('fleet', 'short', pools=rows)
 
 
-def _views(
+def _pool_views(
     leader: states.Leader, now_s: float
 ) -> tuple[
     list[rebalancing.PoolView], dict[ids.ServiceId, list[rebalancing.Member]]
 ]:
+    """Return the pools with their demand, and the standby pools' machines."""
     configuration = leader.server.configuration
     views = {
         service: rebalancing.PoolView(service, [])
@@ -312,6 +318,7 @@
     views: dict[ids.ServiceId, rebalancing.PoolView],
     now_s: float,
 ) -> None:
+    """Add each pool's running and waiting work, and what it lacks."""
     known = states.known_queues(leader)
     for worker in leader.workers.values():
         view = views.get(worker.entry.service)
@@ -347,7 +354,7 @@
                     row.worker for row in view.members if row.worker
                 )
             free_capacity = idle_capacity[view.service]
-            if _lacks_kind(leader, group, view, free_capacity):
+            if _needs_other_machines(leader, group, view, free_capacity):
                 _record_lack(view, group.step)
         if placing.is_too_late(group.entry, queue, leader.lengths, now_s):
             # Its pool gets a machine on which it can run, but no more than
@@ -372,7 +379,7 @@
 def _may_lack_machines(
     view: rebalancing.PoolView, group: ledgers.Group
 ) -> bool:
-    """Return whether a step's pool may lack machines that suit it."""
+    """Return whether a step's pool may lack machines suitable for it."""
     if group.step.label:
         return group.step.label not in view.lacks_labels
     if view.lacks_suitable_machine:
@@ -387,13 +394,13 @@
         view.lacks_suitable_machine = True
 
 
-def _lacks_kind(
+def _needs_other_machines(
     leader: states.Leader,
     group: ledgers.Group,
     view: rebalancing.PoolView,
     free_capacity: list[placing.FreeCapacity],
 ) -> bool:
-    """Return whether a step needs other machines than those of its pool.
+    """Return whether a step fits only on machines of other pools.
 
     :param free_capacity: free capacity of the pool's workers if all were idle
     """
@@ -459,18 +466,18 @@
 
     Those that would be sent too late are dropped and decided again.
     """
-    left = collections.deque(moves)
+    unsent = collections.deque(moves)
     send_until_s = clock.now_s() + machine_handover.SEND_WINDOW_MS / 1000
 
     async def send() -> None:
-        while left and clock.now_s() < send_until_s:
-            await _send_move(leader, left.popleft())
+        while unsent and clock.now_s() < send_until_s:
+            await _send_move(leader, unsent.popleft())
 
     async with curio.TaskGroup() as group:
         for _ in range(min(MAX_CONCURRENT_MOVES, len(moves))):
             await group.spawn(send)
-    if left:
-        event_log.emit('fleet', 'moves-late', count=len(left))
+    if unsent:
+        event_log.emit('fleet', 'moves-late', count=len(unsent))
 
 
 async def _send_move(leader: states.Leader, move: rebalancing.Move) -> None:
@@ -511,18 +518,18 @@
             worker.closed = False
 
 
-def note_arrival(
+def record_job_arrival(
     leader: states.Leader, entry: ledgers.Entry, at_s: float
 ) -> None:
-    """Record the demand of a job that has arrived for its pool."""
+    """Record that a job has arrived, and its demand in its pool."""
     _record_rate(leader, entry, at_s)
     work = entry.job.work
-    core_ms = sum(
+    millicore_ms = sum(
         step.tasks * step.needs.cpu_millicores * step.guess_ms
         for step in work.steps
         if not step.is_long_running
     )
-    if core_ms:
+    if millicore_ms:
         known = states.known_queues(leader)
         queue = placing.queue_of(entry, known)
         factor = lengths.correction_factor(leader.lengths, queue.name)
@@ -530,7 +537,7 @@
             leader.fleet.arrival_history,
             queue.service,
             at_s,
-            core_ms * factor / 1e6,
+            millicore_ms * factor / 1e6,
         )
 
 
--- a/oleanderwood/leading/restarts.py
+++ b/oleanderwood/leading/restarts.py
@@ -78,7 +78,7 @@
     name = worker.entry.worker
     executor = incarnations.executor_of(name)
     leader.workers.pop(name, None)
-    leader.paces.pop(name, None)
+    leader.speeds.pop(name, None)
     leader.last_report_s.pop(name, None)
     known = leader.incarnations.get(executor, {})
     known.pop(name, None)
--- a/oleanderwood/leading/schedule.py
+++ b/oleanderwood/leading/schedule.py
@@ -287,10 +287,9 @@
 def _entries_are_stale(leader: states.Leader, now_s: float) -> bool:
     """Return whether free capacity may have been out of date for too long.
 
-    An entry is written once per heartbeat, and a capacity that has shrunk is
-    binding one contact interval later, so the entries must be newer than one
-    such interval.
-    No entry was written while the store was unavailable.
+    An entry is written once per heartbeat, and a capacity that has shrunk
+    takes effect one contact interval later, so the entries must be newer than
+    one such interval. No entry was written while the store was unavailable.
     """
     settings = leader.server.settings
     age_s = now_s - leader.entries_confirmed_s
@@ -318,11 +317,11 @@
     pool: list[workers_.Worker],
     quotas: quotas_.Quotas,
 ) -> list[ledgers.Group]:
-    """Return the groups whose jobs are recorded as startable in a pool.
+    """Return the groups whose jobs may already be started in a pool.
 
     The queues of the others were moved to this pool later. Of these, only
-    those that fit are recorded in the store: recording all of 200 waiting jobs
-    took 15 writes at once.
+    those that fit are recorded in the store as startable here: recording all
+    of 200 waiting jobs took 15 writes at once.
     """
     startable = [
         row for row in groups if ledgers.may_start_in(row.entry, service)
--- a/oleanderwood/leading/slow_workers.py
+++ b/oleanderwood/leading/slow_workers.py
@@ -1,4 +1,4 @@
-"""Measuring workers' speed, and detecting slow workers."""
+"""Measures workers' speed, and finds tasks to move off slow workers."""
 
 import functools
 
@@ -10,32 +10,41 @@
 from oleanderwood.pools import workers as workers_
 
 
-def _factor_of(leader: states.Leader, entry: ledgers.Entry) -> float:
+def _correction_factor(leader: states.Leader, entry: ledgers.Entry) -> float:
     return lengths.correction_factor(leader.lengths, entry.job.queue.name)
 
 
-def note_lengths(
+def record_lengths(
     leader: states.Leader,
     worker: workers_.Worker,
     rows: list[tuple[ledgers.Task, float]],
     now_s: float,
 ) -> None:
-    """Update length estimates and the worker's speed by completed tasks."""
-    pace = leader.paces.setdefault(worker.entry.worker, slowness.Speed())
+    """Record the lengths of completed tasks.
+
+    They correct the estimates of other tasks' lengths, and show the worker's
+    speed.
+
+    :param rows: tasks, each with its length in seconds
+    """
+    speed = leader.speeds.setdefault(worker.entry.worker, slowness.Speed())
     for task, length_s in rows:
-        factor = _factor_of(leader, task.group.entry)
-        slowness.record_end(pace, task, length_s, factor, now_s)
+        factor = _correction_factor(leader, task.group.entry)
+        slowness.record_end(speed, task, length_s, factor, now_s)
         lengths.record(leader.lengths, task.group, length_s)
 
 
 def tasks_to_move(
     leader: states.Leader, worker: workers_.Worker, now_s: float
 ) -> list[ledgers.Task]:
-    """Re-evaluate a worker; return tasks that would end sooner elsewhere."""
-    factor_of = functools.partial(_factor_of, leader)
-    pace = leader.paces[worker.entry.worker]
-    slowness.measure(pace, worker, factor_of, now_s)
-    _judge(leader, worker, pace)
+    """Measure a worker's speed; return tasks to restart on other workers.
+
+    These are the tasks on a slow worker that would end sooner elsewhere.
+    """
+    factor_of = functools.partial(_correction_factor, leader)
+    speed = leader.speeds[worker.entry.worker]
+    slowness.measure(speed, worker, factor_of, now_s)
+    _update_slow_flag(leader, worker, speed)
     if not worker.slow:
         return []
     tasks = slowness.runs_to_restart(worker, factor_of, now_s)
@@ -51,33 +60,36 @@
     return tasks
 
 
-def _judge(
-    leader: states.Leader, worker: workers_.Worker, pace: slowness.Speed
+def _update_slow_flag(
+    leader: states.Leader, worker: workers_.Worker, speed: slowness.Speed
 ) -> None:
-    """Compare a worker's speed with the other workers of its pool."""
-    if pace.ratio is not None:
-        slowness.judge(pace, _pool_ratios(leader, worker))
-    if pace.slow == worker.slow:
+    """Set whether a worker is slow compared with others of its pool."""
+    if speed.ratio is not None:
+        slowness.judge(speed, _pool_ratios(leader, worker))
+    if speed.slow == worker.slow:
         return
-    worker.slow = pace.slow
+    worker.slow = speed.slow
     event_log.emit(
         'worker',
-        'slow' if pace.slow else 'not-slow',
+        'slow' if speed.slow else 'not-slow',
         worker=worker.entry.worker,
         service=worker.entry.service,
-        ratio=pace.ratio and round(pace.ratio, 2),
+        ratio=speed.ratio and round(speed.ratio, 2),
     )
 
 
 def _pool_ratios(
     leader: states.Leader, worker: workers_.Worker
 ) -> list[float]:
-    """Return the known speed ratios of the other workers of the pool."""
+    """Return the ratios of the other workers of the pool that have one.
+
+    See ``slowness.Speed`` for the ratio.
+    """
     return [
-        leader.paces[name].ratio
+        leader.speeds[name].ratio
         for name, row in leader.workers.items()
         if row.entry.service == worker.entry.service
         and row is not worker
-        and name in leader.paces
-        and leader.paces[name].ratio is not None
+        and name in leader.speeds
+        and leader.speeds[name].ratio is not None
     ]
--- a/oleanderwood/leading/state.py
+++ b/oleanderwood/leading/state.py
@@ -341,7 +341,7 @@
         default_factory=leadership_transfer.TimerLateness
     )
     fleet: Fleet = dataclasses.field(default_factory=Fleet)
-    paces: dict[ids.VmId, slowness.Speed] = dataclasses.field(
+    speeds: dict[ids.VmId, slowness.Speed] = dataclasses.field(
         default_factory=dict
     )
     starved_until_s: dict[ledgers.Group, float] = dataclasses.field(
--- a/oleanderwood/leading/term.py
+++ b/oleanderwood/leading/term.py
@@ -316,7 +316,7 @@
         age_s = max(0.0, (wall_ms - entry.job.handed_in_ms) / 1000)
         entry.arrived_s = now_s - age_s
         if age_s < demand.MEAN_WINDOW_S:
-            pool_loop.note_arrival(leader, entry, now_s - age_s)
+            pool_loop.record_job_arrival(leader, entry, now_s - age_s)
 
 
 async def _follow_intake(leader: states.Leader, revision: int) -> None:
--- a/oleanderwood/leading/worker_loop.py
+++ b/oleanderwood/leading/worker_loop.py
@@ -117,12 +117,12 @@
     try:
         report = await executors.renew(leader.calls, worker.entry, order)
     except executors.Fenced:
-        await note_fenced(leader, worker, fence)
+        await handle_fenced(leader, worker, fence)
     except (errors.CallFailed, executors.Replaced) as error:
-        note_silence(worker, str(error))
+        record_silence(worker, str(error))
     else:
         if not _is_from(worker, report):
-            note_silence(worker, RESTARTED)
+            record_silence(worker, RESTARTED)
 
 
 def _is_from(worker: workers_.Worker, report: reports.Report) -> bool:
@@ -167,7 +167,7 @@
     return base_timeout_s + TIMER_LAG_FACTOR * late_s
 
 
-async def note_failed_order(
+async def handle_failed_order(
     leader: states.Leader, worker: workers_.Worker, error: errors.CallFailed
 ) -> None:
     """Raise the fence after a failed order that may be carried out later.
@@ -234,16 +234,16 @@
     try:
         report = await executors.renew(leader.calls, worker.entry, order)
     except executors.Fenced:
-        await note_fenced(leader, worker, fence)
+        await handle_fenced(leader, worker, fence)
         return False
     except executors.Replaced:
-        await note_replaced(leader, worker)
+        await handle_replaced(leader, worker)
         return False
     except errors.CallFailed as error:
         if lease_end_ms is not None or acknowledged:
-            await note_failed_order(leader, worker, error)
+            await handle_failed_order(leader, worker, error)
         note_unanswered(leader, error)
-        note_silence(worker, error.reason, _silent_from_s(error, sent_s))
+        record_silence(worker, error.reason, _silent_from_s(error, sent_s))
         return False
     if _is_from(worker, report):
         await process_report(leader, worker, report, sent_s)
@@ -267,7 +267,7 @@
         return
     if not states.holds_lease(leader):
         # As in ``mark_gone``: a later leader may have recorded an end there.
-        note_silence(called, RESTARTED)
+        record_silence(called, RESTARTED)
         return
     worker = leader.workers.get(report.worker)
     if worker is None:
@@ -327,18 +327,18 @@
     if is_back:
         await leader.placement_due.set(worker.entry.service)
     await restarts.notify_ended(leader)
-    for note in outcome.events:
-        server_metrics.ENDS.labels(note.event).inc()
+    for run_event in outcome.events:
+        server_metrics.ENDS.labels(run_event.event).inc()
         event_log.emit(
             'run',
-            note.event,
-            task=note.task,
-            attempt=note.attempt,
+            run_event.event,
+            task=run_event.task,
+            attempt=run_event.attempt,
             worker=name,
-            why=note.why,
+            why=run_event.why,
             term=leader.term,
         )
-    slow_workers.note_lengths(leader, worker, outcome.lengths, now_s)
+    slow_workers.record_lengths(leader, worker, outcome.lengths, now_s)
     for stop in [*refused, *outcome.stops]:
         order = states.StopOrder(stop.task, stop.attempt)
         await leader.orders[name].put(order)
@@ -398,7 +398,7 @@
     return now_s if now_s - sent_s > STALE_CONNECTION_S else None
 
 
-def note_silence(
+def record_silence(
     worker: workers_.Worker, why: str, after_s: float | None = None
 ) -> None:
     """Record that a worker does not answer.
@@ -422,7 +422,7 @@
         )
 
 
-async def note_fenced(
+async def handle_fenced(
     leader: states.Leader, worker: workers_.Worker, fence: ids.Fence
 ) -> bool:
     """Handle an order that a worker has refused because of its fence.
@@ -436,12 +436,12 @@
     return False
 
 
-async def note_replaced(
+async def handle_replaced(
     leader: states.Leader, worker: workers_.Worker
 ) -> None:
     """Handle a worker whose address now belongs to another worker."""
     if not await mark_gone(leader, worker, REPLACED):
-        note_silence(worker, REPLACED)
+        record_silence(worker, REPLACED)
 
 
 async def mark_gone(
--- a/tests/test_emulated_defects.py
+++ b/tests/test_emulated_defects.py
@@ -38,13 +38,13 @@
 
 
 def _silence_is_death(patch):
-    note = worker_loop.note_silence
+    record = worker_loop.record_silence
 
     def eager(worker, error):
-        note(worker, error)
+        record(worker, error)
         worker.lease_end_s = 0.0
 
-    patch.setattr(worker_loop, 'note_silence', eager)
+    patch.setattr(worker_loop, 'record_silence', eager)
 
 
 def _unanswered_start_did_not_run(patch):
